--- a/bench/admission_slopes.py
+++ b/bench/admission_slopes.py
@@ -6,7 +6,7 @@
 
 from bench.slopes import REPEATS, Slope
 from myrtlehook_core import encode_envelope
-from myrtlehook_core.process.accountants import PoolAccount, take_demand
+from myrtlehook_core.process.accountants import PoolAccount, record_demand
 from myrtlehook_core.process.admission_messages import (
     AdmissionGrant,
     AdmissionProgress,
@@ -21,7 +21,7 @@
 from myrtlehook_core.process.hashing import rank_routers
 from myrtlehook_core.process.messages import Envelope, Message
 from myrtlehook_core.process.prompt_caches import PromptCache
-from myrtlehook_core.process.shares import Shares, note_asked
+from myrtlehook_core.process.shares import Shares, record_asked
 
 WAITING = (5, 20, 80)
 ENGINES = (9, 100, 667)
@@ -93,12 +93,12 @@
             for _ in range(count)
         ]
         for number, report in enumerate(reports):
-            take_demand(accounts, f"r{number}", report, 1e9, 1.0)
+            record_demand(accounts, f"r{number}", report, 1e9, 1.0)
 
         def take(
             accounts: dict[str, PoolAccount] = accounts, report: DemandReport = reports[0]
         ) -> None:
-            take_demand(accounts, "r0", report, 1e6, 1.0)
+            record_demand(accounts, "r0", report, 1e6, 1.0)
 
         cost_ms = _time_ms(take, max(REPEATS // count, 3))
         slopes.append(Slope(f"accountant: one report among {count} routers", cost_ms, "ms"))
@@ -112,7 +112,7 @@
 
 def _measure_entry_share() -> list[Slope]:
     shares = Shares()
-    cost_ms = _time_ms(lambda: note_asked(shares, "p", "w", 9000, 1.0))
+    cost_ms = _time_ms(lambda: record_asked(shares, "p", "w", 9000, 1.0))
     return [Slope("tier of a request", cost_ms, "ms")]
 
 
--- a/bench/notice_slopes.py
+++ b/bench/notice_slopes.py
@@ -10,7 +10,7 @@
     ConfigurationVersion,
     encode_envelope,
 )
-from myrtlehook_core.process.backoffs import Backoffs, find_pool_wait_s, note_backoff
+from myrtlehook_core.process.backoffs import Backoffs, find_pool_backoff_s, record_backoff
 from myrtlehook_core.process.leaving_servers import (
     LeavingServers,
     forget_left,
@@ -52,7 +52,7 @@
         note_leaving(leaving, make_row(leaving, server.name), 1)
     backoffs: Backoffs = {}
     for server in servers[: BACKED_OFF * POOLS : POOLS]:
-        note_backoff(backoffs, server.name, server.pool, 3.0)
+        record_backoff(backoffs, server.name, server.pool, 3.0)
     barred = tuple(backoffs)
     none: Backoffs = {}
     return [
@@ -81,7 +81,7 @@
 
 
 def _wait(backoffs: Backoffs, configuration: Configuration) -> None:
-    find_pool_wait_s(backoffs, configuration, "pool-0", 1.0)
+    find_pool_backoff_s(backoffs, configuration, "pool-0", 1.0)
 
 
 def _probe(leaving: LeavingServers, count: int) -> int:
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -21,7 +21,7 @@
     encode_envelope,
     events,
 )
-from myrtlehook_core.process.ledgers import Ledger, take_report
+from myrtlehook_core.process.ledgers import Ledger, merge_report
 from myrtlehook_core.process.members import Member, MemberState, collect_member_news
 from myrtlehook_core.process.membership_messages import News, Probe
 from myrtlehook_core.process.messages import (
@@ -110,7 +110,7 @@
     before = tracemalloc.get_traced_memory()[0]
     for router in range(ROUTERS // 10):
         report = Report(True, (), rows)
-        take_report(ledger, f"r{router}", report, 0.0, options, _reach_all)
+        merge_report(ledger, f"r{router}", report, 0.0, options, _reach_all)
     row_bytes = (tracemalloc.get_traced_memory()[0] - before) / (100 * ROUTERS // 10)
     tracemalloc.stop()
 
@@ -121,7 +121,7 @@
             ReportRow(row.workspace, POOL, 5, sequence, 1000 + sequence, 2, -1) for row in rows
         )
         report = Report(True, (), again)
-        take_report(ledger, "r7", report, sequence * 0.2, options, _reach_all)
+        merge_report(ledger, "r7", report, sequence * 0.2, options, _reach_all)
 
     return [
         Slope("ledger row, 120 rows an account", _time_ms(report_again, 20) * 10, "us"),
--- a/packages/core/src/myrtlehook_core/process/accountants.py
+++ b/packages/core/src/myrtlehook_core/process/accountants.py
@@ -1,7 +1,7 @@
-"""The accountant of a pool: one router that works out the level of everyone's shares.
+"""The accountant of a pool: the router that computes the level of the workspaces' shares.
 
-It keeps sums over the last report of each router, so that a report costs its own rows. The
-level is worked out anew at each report.
+It keeps running sums over the latest report of each router, so that the cost of a report grows
+only with its own rows. The level is computed at each report.
 """
 
 from dataclasses import dataclass, field
@@ -10,36 +10,37 @@
 from myrtlehook_core.process.admission_messages import DemandReport, DemandRow, ShareLevel
 
 REPORT_LEASE_S = 1.0
-"""A report that is not refreshed for this long counts no more."""
+"""Time after which a report that was not refreshed is dropped."""
 
 UNLIMITED = -1
 
-TAKEN_FACTOR = 1.1
-"""What engines may do beyond what they have lately taken, while next to nothing is refused: then
-there is no level, unless they do more than is configured."""
+HEADROOM_FACTOR = 1.1
+"""Capacity as a multiple of the tokens recently taken by engines, while almost nothing is refused.
+With this headroom no level applies, unless engines take more than the configured capacity."""
 
-SAFE_FACTOR = 0.8
-"""Of what engines have lately taken, the part that is shared out while much is refused, so that
-they take all that is within the shares."""
+SHARED_FRACTION = 0.8
+"""Fraction of the tokens recently taken by engines that is shared out while many requests are
+refused, so that engines can take all requests within the shares."""
 
-BEYOND_FACTOR = 0.7
-"""The same part where engines take more than is configured. What is within shares comes before all
-else, whatever its length; the rest leaves room for the short requests that fit into it."""
+SHARED_FRACTION_ABOVE_CONFIGURED = 0.7
+"""The same fraction where engines take more than the configured capacity. Requests within shares
+are served first, whatever their length; the remainder leaves room for short requests beyond the
+shares."""
 
-LEAST_PART = 0.05
-"""Of what is configured, this part is shared out although engines take nothing: a level of no
-tokens would be none at all."""
+MIN_SHARED_FRACTION = 0.05
+"""Fraction of the configured capacity that is shared out even if engines take nothing. A level of
+0 tokens would have no effect."""
 
-TELL_INTERVAL_S = 1.0
-"""How often on-call is told of a level, while there is one."""
+LEVEL_NOTICE_INTERVAL_S = 1.0
+"""How often a level is logged for operators while one applies."""
 
-TOLD_WORKSPACES = 8
-"""Of those above the level, so many are told, the largest first."""
+MAX_NOTICE_WORKSPACES = 8
+"""Number of workspaces above the level that are logged, the largest first."""
 
 
 @dataclass(frozen=True, slots=True)
-class HeardReport:
-    """The last report of one router."""
+class RouterReport:
+    """The latest report of one router."""
 
     rows: tuple[DemandRow, ...]
     deadline_s: float
@@ -47,64 +48,64 @@
 
 @dataclass(slots=True)
 class PoolAccount:
-    """What an accountant knows of one pool."""
+    """The reports on one pool and their sums, at its accountant or at a collector."""
 
-    heard: dict[str, HeardReport] = field(default_factory=dict)
+    reports: dict[str, RouterReport] = field(default_factory=dict)
     """By router."""
     asked_tokens: dict[str, int] = field(default_factory=dict)
-    """By workspace, the sum over all reports."""
+    """By workspace. Sum over all reports."""
     refused_tokens: dict[str, int] = field(default_factory=dict)
-    """By workspace, what of that no engine took."""
+    """By workspace. Those of the asked tokens that no engine took."""
     granted_tokens: dict[str, int] = field(default_factory=dict)
-    """By workspace, what engines took."""
-    next_told_s: float = 0.0
+    """By workspace. Tokens that engines took."""
+    next_notice_s: float = 0.0
 
 
-def take_demand(
+def record_demand(
     accounts: dict[str, PoolAccount],
     sender: str,
     report: DemandReport,
     configured_tokens: float,
     now_s: float,
 ) -> ShareLevel:
-    """Take a router's report and return the level in force."""
+    """Record a router's report and return the resulting level."""
     account = accounts.setdefault(report.pool, PoolAccount())
-    note_report(account, sender, report.rows, now_s)
-    return _work_out_level(account, report.pool, configured_tokens)
+    record_report(account, sender, report.rows, now_s)
+    return _compute_share_level(account, report.pool, configured_tokens)
 
 
-def note_report(
+def record_report(
     account: PoolAccount, sender: str, rows: tuple[DemandRow, ...], now_s: float
 ) -> None:
-    """Put a router's report in the place of its last one."""
-    _forget_report(account, sender)
-    account.heard[sender] = HeardReport(rows, now_s + REPORT_LEASE_S)
+    """Replace a router's previous report and drop expired ones."""
+    _remove_report(account, sender)
+    account.reports[sender] = RouterReport(rows, now_s + REPORT_LEASE_S)
     _add_rows(account, rows, 1)
-    forget_late(account, now_s)
+    expire_reports(account, now_s)
 
 
 def describe_level(
     account: PoolAccount, level: ShareLevel, configured_tokens: float, now_s: float
 ) -> ShareLevelNoted | None:
-    """Return what on-call is to know of a level; None while there is nothing new to tell."""
-    if level.level_tokens == UNLIMITED or now_s < account.next_told_s:
+    """Return the log notice of a level; None if no level applies or none is due yet."""
+    if level.level_tokens == UNLIMITED or now_s < account.next_notice_s:
         return None
-    account.next_told_s = now_s + TELL_INTERVAL_S
+    account.next_notice_s = now_s + LEVEL_NOTICE_INTERVAL_S
     largest = sorted(level.rows, key=lambda row: row.asked_tokens, reverse=True)
     return ShareLevelNoted(
         pool=level.pool,
         level_tokens=level.level_tokens,
         configured_tokens=configured_tokens,
-        shared_tokens=find_shared_tokens(account, configured_tokens),
+        shared_tokens=compute_shared_tokens(account, configured_tokens),
         asked_tokens=sum(account.asked_tokens.values()),
         refused_tokens=sum(account.refused_tokens.values()),
-        reports=len(account.heard),
-        above=tuple(largest[:TOLD_WORKSPACES]),
+        reports=len(account.reports),
+        above=tuple(largest[:MAX_NOTICE_WORKSPACES]),
     )
 
 
-def sum_rows(account: PoolAccount) -> tuple[DemandRow, ...]:
-    """Return what all reports that count say together."""
+def sum_reports(account: PoolAccount) -> tuple[DemandRow, ...]:
+    """Return the sums over all recorded reports, by workspace."""
     names = account.asked_tokens.keys() | account.granted_tokens.keys()
     return tuple(
         DemandRow(
@@ -117,61 +118,62 @@
     )
 
 
-def find_shared_tokens(account: PoolAccount, configured_tokens: float) -> float:
-    """Return what is to be shared out: what engines take, whatever a configuration says.
+def compute_shared_tokens(account: PoolAccount, configured_tokens: float) -> float:
+    """Return the capacity to share out, from the tokens that engines have recently taken.
 
-    :param configured_tokens: what the engines produce within the window, by the configuration.
+    :param configured_tokens: the engines' capacity within the window by the configuration.
 
-    Engines that are lost, slow or read prompts anew do less than is configured. Shares of what
-    they cannot do would leave the whole shortage to the workspaces just above the level: those
-    below it come first, whatever there is. Engines that keep most of their prompts do more.
-    Shares of less than that would leave the rest to whoever asks in the shortest prompts: only
-    what is within a share is asked for again after a refusal. What still waits does not count
-    as taken: shares of it would let more of it wait.
+    Engines that are lost, slow or have to read prompts again do less than the configured
+    capacity. Sharing out capacity that they lack would leave the whole shortage to the workspaces
+    just above the level, because those below it are served first in any case. Engines that keep
+    most of their prompts do more than the configured capacity. Sharing out less than they can do
+    would leave the rest to the workspaces with the shortest prompts, because only requests within
+    a share are tried again after a refusal. Requests that still wait do not count as taken:
+    shares that included them would make more requests wait.
     """
-    refused = sum(account.refused_tokens.values())
-    taken = sum(account.granted_tokens.values())
-    while_calm = min(TAKEN_FACTOR * taken - refused, configured_tokens)
-    within_tokens = min(SAFE_FACTOR * taken, configured_tokens)
-    beyond_tokens = BEYOND_FACTOR * taken
-    return max(within_tokens, beyond_tokens, while_calm, LEAST_PART * configured_tokens)
+    refused_tokens = sum(account.refused_tokens.values())
+    taken_tokens = sum(account.granted_tokens.values())
+    calm_tokens = min(HEADROOM_FACTOR * taken_tokens - refused_tokens, configured_tokens)
+    within_tokens = min(SHARED_FRACTION * taken_tokens, configured_tokens)
+    beyond_tokens = SHARED_FRACTION_ABOVE_CONFIGURED * taken_tokens
+    return max(within_tokens, beyond_tokens, calm_tokens, MIN_SHARED_FRACTION * configured_tokens)
 
 
-def find_level(demands: list[int], capacity: float) -> float | None:
-    """Return the most that each may get so that all together get the capacity.
+def compute_level(demands: list[int], capacity: float) -> float | None:
+    """Return the max-min fair level: the limit per demand at which all together use the capacity.
 
-    :returns: None when everyone can have all that they ask for.
+    :returns: None if the capacity covers all demands.
     """
-    left = capacity
+    remaining = capacity
     rising = sorted(demands)
     for index, demand in enumerate(rising):
-        equal = left / (len(rising) - index)
+        equal = remaining / (len(rising) - index)
         if demand > equal:
             return equal
-        left -= demand
+        remaining -= demand
     return None
 
 
-def _work_out_level(account: PoolAccount, pool: str, configured_tokens: float) -> ShareLevel:
-    shared_tokens = find_shared_tokens(account, configured_tokens)
-    level = find_level(list(account.asked_tokens.values()), shared_tokens)
+def _compute_share_level(account: PoolAccount, pool: str, configured_tokens: float) -> ShareLevel:
+    shared_tokens = compute_shared_tokens(account, configured_tokens)
+    level = compute_level(list(account.asked_tokens.values()), shared_tokens)
     if level is None:
         return ShareLevel(pool, UNLIMITED, ())
-    above = tuple(row for row in sum_rows(account) if row.asked_tokens > level)
+    above = tuple(row for row in sum_reports(account) if row.asked_tokens > level)
     return ShareLevel(pool, round(level), above)
 
 
-def forget_late(account: PoolAccount, now_s: float) -> None:
+def expire_reports(account: PoolAccount, now_s: float) -> None:
     """Drop reports that were not refreshed in time."""
-    late = [router for router, known in account.heard.items() if now_s >= known.deadline_s]
-    for router in late:
-        _forget_report(account, router)
+    expired = [router for router, report in account.reports.items() if now_s >= report.deadline_s]
+    for router in expired:
+        _remove_report(account, router)
 
 
-def _forget_report(account: PoolAccount, router: str) -> None:
-    known = account.heard.pop(router, None)
-    if known is not None:
-        _add_rows(account, known.rows, -1)
+def _remove_report(account: PoolAccount, router: str) -> None:
+    report = account.reports.pop(router, None)
+    if report is not None:
+        _add_rows(account, report.rows, -1)
 
 
 def _add_rows(account: PoolAccount, rows: tuple[DemandRow, ...], sign: int) -> None:
--- a/packages/core/src/myrtlehook_core/process/admission_asking.py
+++ b/packages/core/src/myrtlehook_core/process/admission_asking.py
@@ -11,10 +11,10 @@
     EngineEstimate,
     PartRow,
 )
-from myrtlehook_core.process.backoffs import backs_off
-from myrtlehook_core.process.entries import Entry, EntryContext
+from myrtlehook_core.process.backoffs import is_backing_off
 from myrtlehook_core.process.full_tiers import FullTiers
 from myrtlehook_core.process.hashing import rank_routers
+from myrtlehook_core.process.ingress import IngressContext, IngressState
 from myrtlehook_core.process.shares import Shares
 from myrtlehook_core.request.requests import PromptPart, RequestSpecification
 
@@ -107,8 +107,8 @@
 class AdmissionContext:
     """What the functions here need besides their own state."""
 
-    entry: Entry
-    entry_context: EntryContext
+    entry: IngressState
+    entry_context: IngressContext
     shares: Shares
     owner_of: Callable[[str], str | None]
     now_s: float
@@ -155,7 +155,7 @@
     server = context.entry_context.configuration.backend_servers.get(name)
     if server is None or server.leaving:
         return False
-    return not backs_off(context.entry.backoffs, name, context.now_s)
+    return not is_backing_off(context.entry.backoffs, name, context.now_s)
 
 
 def find_source(
@@ -223,7 +223,7 @@
         eager=admission.eager,
         aim_ms=round((request.aim_deadline_s - request.arrived_at_s) * 1000.0),
     )
-    context.entry_context.post.add(owner, message)
+    context.entry_context.outbox.add(owner, message)
 
 
 def tell_owner(
@@ -234,4 +234,4 @@
     """Tell an engine's owner what became of a request."""
     owner = context.owner_of(admission.backend_server)
     if owner is not None:
-        context.entry_context.post.add(owner, message)
+        context.entry_context.outbox.add(owner, message)
--- a/packages/core/src/myrtlehook_core/process/admission_ends.py
+++ b/packages/core/src/myrtlehook_core/process/admission_ends.py
@@ -7,11 +7,11 @@
     tell_owner,
 )
 from myrtlehook_core.process.admission_messages import AdmissionRelease
-from myrtlehook_core.process.entries import account_of, count_queued, key_of
 from myrtlehook_core.process.events import RunEnded
+from myrtlehook_core.process.ingress import get_account, make_pool_key, update_queue_counts
 from myrtlehook_core.process.intakes import count_refused
 from myrtlehook_core.process.quarantine import find_hold_s
-from myrtlehook_core.process.refusals import find_return_s, refuse_with
+from myrtlehook_core.process.refusals import find_retry_wait_s, refuse_with_wait
 from myrtlehook_core.request.charges import settle_charge
 from myrtlehook_core.request.outcomes import RefusalReason
 
@@ -27,7 +27,7 @@
     if admission is None:
         return False
     entry = context.entry
-    account = account_of(entry, key_of(admission.request), context.entry_context.draw)
+    account = get_account(entry, make_pool_key(admission.request), context.entry_context.draw)
     settle_charge(account, event.request_id, event.cost_units)
     account.last_active_s = now_s
     _forget(context, admission, ran=True, failed=event.failed)
@@ -56,9 +56,9 @@
     _forget(context, admission, ran=False)
     entry_context = context.entry_context
     held_s = find_hold_s(entry_context.quarantine, request.fingerprint, now_s)
-    backoff_s = find_return_s(context.entry, entry_context, request, now_s)
+    backoff_s = find_retry_wait_s(context.entry, entry_context, request, now_s)
     wait_s = held_s or max(admission.retry_after_s, backoff_s)
-    refuse_with(context.entry_context, request, reason, wait_s)
+    refuse_with_wait(context.entry_context, request, reason, wait_s)
 
 
 def _forget(
@@ -67,7 +67,7 @@
     request_id = admission.request.request_id
     context.entry.attempts.pop(request_id, None)
     if not admission.granted:
-        count_queued(context.entry, admission.request, -1)
+        update_queue_counts(context.entry, admission.request, -1)
     if not ran:
         count_refused(context.shares, admission.request, admission.tier, admission.noted_at_s)
     if admission.backend_server:
--- a/packages/core/src/myrtlehook_core/process/admissions.py
+++ b/packages/core/src/myrtlehook_core/process/admissions.py
@@ -25,23 +25,23 @@
     AdmissionRefusal,
     AdmissionRelease,
 )
-from myrtlehook_core.process.backoffs import find_pool_wait_s
-from myrtlehook_core.process.entries import (
-    EntryContext,
-    account_of,
-    count_queued,
-    key_of,
-    virtual_service_units,
-)
+from myrtlehook_core.process.backoffs import find_pool_backoff_s
 from myrtlehook_core.process.full_tiers import is_full, note_taken, note_untaken
+from myrtlehook_core.process.ingress import (
+    IngressContext,
+    compute_virtual_service_units,
+    get_account,
+    make_pool_key,
+    update_queue_counts,
+)
 from myrtlehook_core.process.intakes import Intake, count_granted, count_refused
 from myrtlehook_core.process.refusals import (
     choose_last_refusal,
     find_refusal,
     refuse_request,
-    refuse_with,
+    refuse_with_wait,
 )
-from myrtlehook_core.process.runs import NO_FAILURES, may_retry
+from myrtlehook_core.process.runs import BLAMELESS_RETRY_REASONS, claim_retry
 from myrtlehook_core.request.charges import (
     cancel_charge,
     charge_known,
@@ -51,7 +51,7 @@
 from myrtlehook_core.request.requests import RequestSpecification, find_share_tokens
 
 
-def is_admitted_by_tokens(context: EntryContext, request: RequestSpecification) -> bool:
+def is_admitted_by_tokens(context: IngressContext, request: RequestSpecification) -> bool:
     """Tell whether a request goes to a model engine that is loaded by tokens."""
     pool = context.configuration.pools.get(request.pool)
     return pool is not None and pool.engine is not None
@@ -66,7 +66,7 @@
 ) -> None:
     """Ask for an engine for a new request, or refuse it."""
     entry = context.entry
-    reason = find_refusal(entry, context.entry_context, key_of(request), request, now_s)
+    reason = find_refusal(entry, context.entry_context, make_pool_key(request), request, now_s)
     if reason is not None:
         count_refused(context.shares, request, intake.tier, now_s)
         refuse_request(entry, context.entry_context, request, reason, now_s)
@@ -76,12 +76,12 @@
     tier = intake.tier
     if options.refuses_full_tiers and options.keeps_shares and is_full(full, tier, now_s):
         count_refused(context.shares, request, tier, now_s)
-        refuse_with(
+        refuse_with_wait(
             context.entry_context, request, RefusalReason.SHARE_EXCEEDED, full.retry_after_s
         )
         return
     entry.attempts[request.request_id] = 0
-    count_queued(entry, request, 1)
+    update_queue_counts(entry, request, 1)
     admission = Admission(request, noted_at_s=now_s)
     if options.keeps_shares:
         admission.tier = tier
@@ -137,7 +137,7 @@
     admission = admissions.open.get(grant.request_id)
     if admission is None or admission.backend_server != grant.backend_server:
         release = AdmissionRelease(grant.request_id, grant.backend_server, ran=False)
-        context.entry_context.post.add(sender, release)
+        context.entry_context.outbox.add(sender, release)
         return
     if admission.granted:
         return
@@ -146,7 +146,7 @@
     elif not is_usable_engine(context, grant.backend_server):
         # The last look before it is sent: what the engine has told this router since it was
         # asked, its owner may not have heard.
-        context.entry_context.out.add(DropNoted(DropReason.GRANT_CLOSED))
+        context.entry_context.actions.add(DropNoted(DropReason.GRANT_CLOSED))
         _leave_engine(admissions, context, admission, now_s)
     else:
         _dispatch(admissions, context, admission, grant.unread_tokens, now_s)
@@ -181,7 +181,9 @@
     admission = admissions.open.get(request_id)
     if admission is None or not admission.granted:
         return admission is not None
-    account = account_of(context.entry, key_of(admission.request), context.entry_context.draw)
+    account = get_account(
+        context.entry, make_pool_key(admission.request), context.entry_context.draw
+    )
     grow_charge(account, request_id, observed_units)
     if not admission.begun:
         admission.begun = True
@@ -203,18 +205,18 @@
     if not admission.granted:
         return True
     entry = context.entry
-    account = account_of(entry, key_of(admission.request), context.entry_context.draw)
+    account = get_account(entry, make_pool_key(admission.request), context.entry_context.draw)
     cancel_charge(account, request_id)
-    failed = reason not in NO_FAILURES
+    failed = reason not in BLAMELESS_RETRY_REASONS
     release = AdmissionRelease(request_id, admission.backend_server, False, failed)
     tell_owner(context, admission, release)
     admission.granted = False
     admission.begun = False
     admission.eager = False
     admission.hop = 0
-    count_queued(entry, admission.request, 1)
-    if may_retry(entry, context.entry_context, admission.request, reason, now_s):
-        context.entry_context.out.add(RetryNoted(request_id, reason))
+    update_queue_counts(entry, admission.request, 1)
+    if claim_retry(entry, context.entry_context, admission.request, reason, now_s):
+        context.entry_context.actions.add(RetryNoted(request_id, reason))
         ask_next(admissions, context, admission, now_s)
         return True
     refusal = choose_last_refusal(context.entry_context, admission.request, now_s)
@@ -257,7 +259,7 @@
     request = admission.request
     entry_context = context.entry_context
     backoffs = context.entry.backoffs
-    wait_s = find_pool_wait_s(backoffs, entry_context.configuration, request.pool, now_s)
+    wait_s = find_pool_backoff_s(backoffs, entry_context.configuration, request.pool, now_s)
     if not wait_s:
         reason = RefusalReason.NO_BACKEND_SERVER
         refuse_admission(admissions, context, admission, reason, now_s)
@@ -282,9 +284,9 @@
     admission.granted = True
     note_taken(admissions.full_tiers[request.pool], admission.tier, now_s)
     admission.unread_tokens = unread_tokens
-    count_queued(entry, request, -1)
-    account = account_of(entry, key_of(request), context.entry_context.draw)
-    priority_units = virtual_service_units(entry, key_of(request))
+    update_queue_counts(entry, request, -1)
+    account = get_account(entry, make_pool_key(request), context.entry_context.draw)
+    priority_units = compute_virtual_service_units(entry, make_pool_key(request))
     workspace = context.entry_context.configuration.workspaces.get(request.workspace)
     share = 1.0 if workspace is None else workspace.share
     charge_known(account, request.request_id, float(find_share_tokens(request)), share)
@@ -294,7 +296,7 @@
         count_granted(context.shares, request, now_s)
     entry.retry_budget = min(entry.retry_budget + options.retry_ratio, options.retry_burst)
     remember_parts(admissions, admission)
-    context.entry_context.out.add(
+    context.entry_context.actions.add(
         Dispatch(
             request.request_id,
             admission.backend_server,
--- a/packages/core/src/myrtlehook_core/process/backoffs.py
+++ b/packages/core/src/myrtlehook_core/process/backoffs.py
@@ -1,12 +1,12 @@
-"""Backend servers that have asked this router to be left alone for a time.
+"""Back-offs that backend servers have requested from this router.
 
-A server that turns a request away may say for how long it wants nothing more of the router that
-sent it. That binds this router alone: others were not asked, and their own answers tell them.
-Until then the server counts as not there for new requests, second attempts and resumed streams;
-it takes no part in handing prompts over, and is not asked for its load.
+A server that rejects a request may say for how long the router should send it no more requests.
+The back-off applies to this router only: other routers learn of theirs from their own answers.
+Until it ends, the server is left out for new requests, retries and resumed streams; it takes no
+part in handing prompts over, and its load is not polled.
 
-At the end of that time no rush follows: a server's owner grants no more than fills its slots, or
-keeps an engine reading, as at any other time.
+The end of a back-off causes no burst: the server's owner grants only as many requests as fill its
+slots or keep an engine reading, as at any other time.
 """
 
 from dataclasses import dataclass
@@ -16,10 +16,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Backoff:
-    """What one server has asked for."""
+    """The back-off that one server has requested."""
 
     pool: str
-    """Empty where the server was not known when it said so."""
+    """Empty if the server was unknown when it requested the back-off."""
     until_s: float
 
 
@@ -27,8 +27,8 @@
 """By backend server."""
 
 
-def note_backoff(backoffs: Backoffs, backend_server: str, pool: str, until_s: float) -> bool:
-    """Note until when a server wants nothing; True when that is later than was known."""
+def record_backoff(backoffs: Backoffs, backend_server: str, pool: str, until_s: float) -> bool:
+    """Record when a server's back-off ends; return True if that is later than recorded before."""
     known = backoffs.get(backend_server)
     if known is not None and known.until_s >= until_s:
         return False
@@ -36,14 +36,14 @@
     return True
 
 
-def backs_off(backoffs: Backoffs, backend_server: str, now_s: float) -> bool:
-    """Tell whether a server wants nothing of this router now."""
+def is_backing_off(backoffs: Backoffs, backend_server: str, now_s: float) -> bool:
+    """Return whether a server is backing off from this router now."""
     known = backoffs.get(backend_server)
     return known is not None and now_s < known.until_s
 
 
 def list_backed_off(backoffs: Backoffs, pool: str, now_s: float) -> tuple[str, ...]:
-    """Return the servers of a pool that want nothing of this router now."""
+    """Return the servers of a pool that are backing off from this router now."""
     return tuple(
         name
         for name, backoff in backoffs.items()
@@ -51,28 +51,28 @@
     )
 
 
-def find_pool_wait_s(
+def find_pool_backoff_s(
     backoffs: Backoffs, configuration: Configuration, pool: str, now_s: float
 ) -> float:
-    """Return how long no server of a pool takes a request of this router.
+    """Return the time until the first server of a pool ends its back-off.
 
-    0 where one does, or where none is known that will.
+    0 if a server accepts requests now, or if all servers of the pool are leaving.
     """
-    barred = set(list_backed_off(backoffs, pool, now_s))
-    if not barred:
+    backed_off = set(list_backed_off(backoffs, pool, now_s))
+    if not backed_off:
         return 0.0
     soonest_s = 0.0
     for name, server in configuration.backend_servers.items():
         if server.pool != pool or server.leaving:
             continue
-        if name not in barred:
+        if name not in backed_off:
             return 0.0
-        left_s = backoffs[name].until_s - now_s
-        soonest_s = min(soonest_s, left_s) if soonest_s else left_s
+        remaining_s = backoffs[name].until_s - now_s
+        soonest_s = min(soonest_s, remaining_s) if soonest_s else remaining_s
     return soonest_s
 
 
-def forget_passed(backoffs: Backoffs, now_s: float) -> None:
-    """Forget what is over."""
+def drop_ended_backoffs(backoffs: Backoffs, now_s: float) -> None:
+    """Drop back-offs that have ended."""
     for name in [name for name, backoff in backoffs.items() if now_s >= backoff.until_s]:
         del backoffs[name]
--- a/packages/core/src/myrtlehook_core/process/choosers.py
+++ b/packages/core/src/myrtlehook_core/process/choosers.py
@@ -1,4 +1,4 @@
-"""The owner's choice of the workspace that gets the next free slot."""
+"""Choosers: how an owner selects the workspace that gets the next free slot."""
 
 import math
 import statistics
@@ -9,12 +9,13 @@
 """Returns a random number, at least 0 and less than 1."""
 
 WEIGHT_EXPONENT_LIMIT = 3.0
-"""Bounds the weights to a ratio of e**6, so that no candidate is ever hopeless."""
+"""Bounds the effect of virtual service on the weights to a ratio of e**6, so that every candidate
+keeps a chance."""
 
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """A workspace with work waiting."""
+    """A workspace with requests waiting."""
 
     workspace: str
     share: float
@@ -31,40 +32,43 @@
 
 
 def make_weighted_chooser(spread_units: float) -> Chooser:
-    """Make a chooser that prefers low virtual service at random.
+    """Make a chooser that picks at random, with higher weights for lower virtual service.
 
-    Many owners with totals that are a little old would all feed the same
-    workspace if each took strictly the lowest; chance spreads them.
+    Totals at owners are slightly out of date. If many owners each chose strictly the lowest, they
+    would all grant to the same workspace; the random choice spreads their grants.
 
-    :param spread_units: H, in service units a share; 0 takes two mean requests a share.
+    :param spread_units: the difference H in virtual service units that changes a weight by the
+        factor e; 0 uses the cost of two mean requests per share.
     """
 
     def choose_weighted(candidates: Sequence[Candidate], draw: Draw) -> Candidate:
         if len(candidates) == 1:
             return candidates[0]
-        middle = statistics.median(item.virtual_service_units for item in candidates)
-        spread = spread_units or _default_spread(candidates)
-        weights = [_weight(item, middle, spread) for item in candidates]
-        return _pick(candidates, weights, draw)
+        median = statistics.median(item.virtual_service_units for item in candidates)
+        spread = spread_units or _compute_default_spread(candidates)
+        weights = [_compute_weight(item, median, spread) for item in candidates]
+        return _pick_weighted(candidates, weights, draw)
 
     return choose_weighted
 
 
-def _default_spread(candidates: Sequence[Candidate]) -> float:
+def _compute_default_spread(candidates: Sequence[Candidate]) -> float:
     costs = [item.mean_cost_units / item.share for item in candidates]
     return max(2.0 * statistics.fmean(costs), 1e-9)
 
 
-def _weight(item: Candidate, middle_units: float, spread_units: float) -> float:
-    exponent = (middle_units - item.virtual_service_units) / spread_units
+def _compute_weight(item: Candidate, median_units: float, spread_units: float) -> float:
+    exponent = (median_units - item.virtual_service_units) / spread_units
     bounded = max(-WEIGHT_EXPONENT_LIMIT, min(WEIGHT_EXPONENT_LIMIT, exponent))
     return item.share * math.exp(bounded) / max(item.mean_cost_units, 1e-9)
 
 
-def _pick(candidates: Sequence[Candidate], weights: Sequence[float], draw: Draw) -> Candidate:
-    mark = draw() * sum(weights)
+def _pick_weighted(
+    candidates: Sequence[Candidate], weights: Sequence[float], draw: Draw
+) -> Candidate:
+    threshold = draw() * sum(weights)
     for item, weight in zip(candidates, weights, strict=True):
-        mark -= weight
-        if mark < 0:
+        threshold -= weight
+        if threshold < 0:
             return item
     return candidates[-1]
--- a/packages/core/src/myrtlehook_core/process/engine_decisions.py
+++ b/packages/core/src/myrtlehook_core/process/engine_decisions.py
@@ -22,7 +22,7 @@
 )
 from myrtlehook_core.process.engine_models import describe_model
 from myrtlehook_core.process.options import CoreOptions
-from myrtlehook_core.process.posts import Post
+from myrtlehook_core.process.outboxes import MessageOutbox
 from myrtlehook_core.process.prompt_caches import count_kept
 from myrtlehook_core.process.urgent_demands import SHORTER_PART, find_shortest
 from myrtlehook_core.request.requests import count_share_tokens
@@ -54,7 +54,7 @@
     configuration: Configuration
     reachable: Callable[[str], bool]
     out: Outbox
-    post: Post
+    post: MessageOutbox
 
 
 def grant_waiting(context: QueueContext, name: str, load: EngineLoad, now_s: float) -> None:
--- a/packages/core/src/myrtlehook_core/process/event_handlers.py
+++ b/packages/core/src/myrtlehook_core/process/event_handlers.py
@@ -13,18 +13,18 @@
     retry_admission,
     tick_admissions,
 )
-from myrtlehook_core.process.backoffs import forget_passed
+from myrtlehook_core.process.backoffs import drop_ended_backoffs
 from myrtlehook_core.process.bidding import (
-    keys_to_report,
-    offer_first,
+    find_keys_to_report,
     repeat_releases,
     send_bids,
+    send_first_bid,
     send_hold_summaries,
     send_reports,
 )
 from myrtlehook_core.process.engine_decisions import grant_due
 from myrtlehook_core.process.engine_queues import tick_queues
-from myrtlehook_core.process.entries import (
+from myrtlehook_core.process.ingress import (
     RunningRequest,
     drop_idle_queues,
 )
@@ -60,16 +60,16 @@
     on_server_ended,
     repeat_sound_reports,
 )
-from myrtlehook_core.process.refusals import refuse_hopeless
+from myrtlehook_core.process.refusals import refuse_unservable
 from myrtlehook_core.process.runs import (
     abandon_request,
     accept_request,
     end_run,
-    observe_service,
+    record_observed_service,
     retry_run,
 )
 from myrtlehook_core.process.server_notice_handlers import on_server_noticed
-from myrtlehook_core.process.shares import Reporters, send_collected, send_demands
+from myrtlehook_core.process.shares import Reporters, send_demand_reports, send_zone_reports
 from myrtlehook_core.process.source_handlers import (
     PLATFORM,
     on_configuration,
@@ -104,16 +104,16 @@
         open_admission(core.admissions, core.admission_context(), event.request, intake, now_s)
         return
     key = accept_request(entry, core.entry_context(), event.request, now_s)
-    if key is None or key not in entry.fresh_keys:
+    if key is None or key not in entry.unreported_keys:
         return
-    entry.fresh_keys.discard(key)
+    entry.unreported_keys.discard(key)
     if core.options.exchange_totals:
         # The ledger lifts a workspace that returns from idle before it is served.
         send_reports(entry, core.placement, core.options, core.draw, core.post, {key}, now_s)
     context = core.owner_context()
     free = count_free_in_pool(core.owner, context, key.pool, now_s)
     preferred = core.identity.router_id if free > 0 else None
-    offer_first(entry, core.placement, event.request, preferred, core.draw, core.post, now_s)
+    send_first_bid(entry, core.placement, event.request, preferred, core.draw, core.post, now_s)
 
 
 def _on_abandoned(core: "RouterCore", event: events.RequestAbandoned, now_s: float) -> None:
@@ -124,7 +124,7 @@
 def _on_service(core: "RouterCore", event: events.ServiceObserved, now_s: float) -> None:
     context = core.admission_context()
     if not note_progress(core.admissions, context, event.request_id, event.observed_units):
-        observe_service(core.entry, event.request_id, event.observed_units)
+        record_observed_service(core.entry, event.request_id, event.observed_units)
 
 
 def _on_ended(core: "RouterCore", event: events.RunEnded, now_s: float) -> None:
@@ -226,8 +226,8 @@
         core.shares.next_report_s = now_s + core.options.demand_interval_s
         near = core.placement.zones.get(core.identity.availability_zone, ())
         reporters = Reporters(core.identity.router_id, core.placement.eligible, near)
-        send_demands(core.shares, reporters, core.options.quota_window_s, core.post, now_s)
-        send_collected(core.shares, reporters, core.post, now_s)
+        send_demand_reports(core.shares, reporters, core.options.quota_window_s, core.post, now_s)
+        send_zone_reports(core.shares, reporters, core.post, now_s)
     entry = core.entry
     if now_s >= entry.next_refresh_s:
         entry.next_refresh_s = now_s + core.options.refresh_interval_s
@@ -259,17 +259,17 @@
         pools = core.configuration.pools
         # Shares of pools that are admitted to by tokens come from their accountants.
         by_tokens = {name for name, pool in pools.items() if pool.engine is not None}
-        keys = {key for key in keys_to_report(core.entry) if key.pool not in by_tokens}
+        keys = {key for key in find_keys_to_report(core.entry) if key.pool not in by_tokens}
         send_reports(core.entry, core.placement, core.options, core.draw, core.post, keys, now_s)
 
 
 def _sweep(core: "RouterCore", now_s: float) -> None:
-    refuse_hopeless(core.entry, core.entry_context(), now_s)
+    refuse_unservable(core.entry, core.entry_context(), now_s)
     drop_idle_queues(core.entry, now_s, core.options.idle_drop_s)
     drop_idle_accounts(core.ledger, now_s, core.options)
     forget_old(core.quarantine, now_s)
     forget_left(core.leaving, core.configuration.backend_servers, now_s)
-    forget_passed(core.entry.backoffs, now_s)
+    drop_ended_backoffs(core.entry.backoffs, now_s)
     repeat_sound_reports(core, now_s)
     sweep_source(core, now_s)
 
--- a/packages/core/src/myrtlehook_core/process/intakes.py
+++ b/packages/core/src/myrtlehook_core/process/intakes.py
@@ -9,9 +9,9 @@
 from myrtlehook_core.process.shares import (
     Shares,
     asks_above_share,
-    note_asked,
-    note_granted,
-    note_refused,
+    record_asked,
+    record_granted,
+    record_refused,
 )
 from myrtlehook_core.process.shedding import Shedding, sheds
 from myrtlehook_core.request.requests import RequestSpecification, find_share_tokens
@@ -31,7 +31,7 @@
     """Count a new request for its workspace."""
     pool, workspace = request.pool, request.workspace
     return Intake(
-        tier=note_asked(shares, pool, workspace, find_share_tokens(request), now_s),
+        tier=record_asked(shares, pool, workspace, find_share_tokens(request), now_s),
         above_share=asks_above_share(shares, pool, workspace, now_s),
     )
 
@@ -58,9 +58,9 @@
     :param asked_at_s: when it was counted as asked for.
     """
     tokens = find_share_tokens(request)
-    note_refused(shares, request.pool, request.workspace, tokens, tier, asked_at_s)
+    record_refused(shares, request.pool, request.workspace, tokens, tier, asked_at_s)
 
 
 def count_granted(shares: Shares, request: RequestSpecification, now_s: float) -> None:
     """Count a request that an engine has taken."""
-    note_granted(shares, request.pool, request.workspace, find_share_tokens(request), now_s)
+    record_granted(shares, request.pool, request.workspace, find_share_tokens(request), now_s)
--- a/packages/core/src/myrtlehook_core/process/message_handlers.py
+++ b/packages/core/src/myrtlehook_core/process/message_handlers.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from myrtlehook_core.process.accountants import describe_level, take_demand
+from myrtlehook_core.process.accountants import describe_level, record_demand
 from myrtlehook_core.process.actions import (
     DropNoted,
 )
@@ -19,7 +19,7 @@
 )
 from myrtlehook_core.process.admissions import take_grant, take_refusal
 from myrtlehook_core.process.bidding import (
-    bid_to,
+    send_bid,
     send_hold_list,
 )
 from myrtlehook_core.process.engine_queues import (
@@ -28,10 +28,10 @@
     receive_progress,
     receive_request,
 )
-from myrtlehook_core.process.entries import (
-    take_totals,
+from myrtlehook_core.process.ingress import (
+    record_totals,
 )
-from myrtlehook_core.process.ledgers import take_report
+from myrtlehook_core.process.ledgers import merge_report
 from myrtlehook_core.process.members import find_state
 from myrtlehook_core.process.membership_messages import (
     Ack,
@@ -78,10 +78,10 @@
 )
 from myrtlehook_core.process.quarantine_messages import ServerEndReport, SoundRunReport
 from myrtlehook_core.process.runs import (
-    spend_grant,
+    apply_grant,
 )
 from myrtlehook_core.process.server_notice_handlers import take_leaving_notice
-from myrtlehook_core.process.shares import take_level, take_zone_report
+from myrtlehook_core.process.shares import apply_level, record_zone_report
 from myrtlehook_core.process.source_handlers import (
     hear_source,
     query_documents,
@@ -107,9 +107,9 @@
 
 
 def _take_grant(core: "RouterCore", sender: str, message: Grant, now_s: float) -> None:
-    hungry = spend_grant(core.entry, core.entry_context(), sender, message, now_s)
+    hungry = apply_grant(core.entry, core.entry_context(), sender, message, now_s)
     if hungry:
-        bid_to(core.entry, message.pool, sender, core.post, now_s)
+        send_bid(core.entry, message.pool, sender, core.post, now_s)
 
 
 def _take_release(core: "RouterCore", sender: str, message: Release, now_s: float) -> None:
@@ -129,13 +129,13 @@
 
 
 def _take_report(core: "RouterCore", sender: str, message: Report, now_s: float) -> None:
-    rows = take_report(core.ledger, sender, message, now_s, core.options, core.reachable)
+    rows = merge_report(core.ledger, sender, message, now_s, core.options, core.reachable)
     if message.wants_totals:
         core.post.add(sender, Totals(rows))
 
 
 def _take_totals(core: "RouterCore", sender: str, message: Totals, now_s: float) -> None:
-    take_totals(core.entry, message.rows, now_s)
+    record_totals(core.entry, message.rows, now_s)
 
 
 def _take_probe(core: "RouterCore", sender: str, message: Probe, now_s: float) -> None:
@@ -241,12 +241,12 @@
     if limits.tokens_per_s <= 0:
         return
     if message.to_collector:
-        level = take_zone_report(core.shares, sender, message, now_s)
+        level = record_zone_report(core.shares, sender, message, now_s)
         if level is not None:
             core.post.add(sender, level)
         return
     configured_tokens = limits.tokens_per_s * options.quota_window_s * options.capacity_factor
-    level = take_demand(core.shares.accounts, sender, message, configured_tokens, now_s)
+    level = record_demand(core.shares.accounts, sender, message, configured_tokens, now_s)
     core.post.add(sender, level)
     account = core.shares.accounts[message.pool]
     told = describe_level(account, level, configured_tokens, now_s)
@@ -255,7 +255,7 @@
 
 
 def _take_level(core: "RouterCore", sender: str, message: ShareLevel, now_s: float) -> None:
-    take_level(core.shares, message, now_s)
+    apply_level(core.shares, message, now_s)
 
 
 # Typed per handler by its own signature; the table only pairs each type with its handler.
--- a/packages/core/src/myrtlehook_core/process/orders.py
+++ b/packages/core/src/myrtlehook_core/process/orders.py
@@ -1,4 +1,4 @@
-"""Orders to backend servers, derived from the configuration in force and fenced with it."""
+"""Orders to backend servers, derived from the current configuration and fenced by its number."""
 
 from myrtlehook_core.process.actions import SendOrder
 from myrtlehook_core.process.events import LoadReported
@@ -6,10 +6,10 @@
 
 
 def find_order(configuration: Configuration, report: LoadReported) -> SendOrder | None:
-    """Return the order that a server's report calls for, if any.
+    """Return the order to send if a server's report differs from the configuration.
 
-    A server that has applied a greater fence than this router's version is left
-    alone: another router knows a later configuration.
+    A server that has applied a higher fence than this router's configuration number gets no
+    order: another router has a later configuration.
     """
     server = configuration.backend_servers.get(report.backend_server)
     if server is None or server.order is None:
--- a/packages/core/src/myrtlehook_core/process/posts.py
+++ b/packages/core/src/myrtlehook_core/process/outboxes.py
@@ -1,10 +1,10 @@
-"""Messages that one event has produced, addressed by router."""
+"""The outgoing messages of one event, addressed by router."""
 
 from myrtlehook_core.process.messages import Message
 
 
-class Post:
-    """Collects messages for routers, this one included, until the event is done."""
+class MessageOutbox:
+    """Collects messages to routers, this one included, while an event is handled."""
 
     __slots__ = ("messages",)
 
--- a/packages/core/src/myrtlehook_core/process/owners.py
+++ b/packages/core/src/myrtlehook_core/process/owners.py
@@ -1,21 +1,21 @@
-"""The slot owner: grants the slots of the backend servers that this router owns."""
+"""The slot owner: grants slots of the backend servers that this router owns to routers."""
 
 import math
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
 from myrtlehook_core.process.actions import Outbox, PollLoad, ServerEjected
-from myrtlehook_core.process.backoffs import Backoffs, backs_off
+from myrtlehook_core.process.backoffs import Backoffs, is_backing_off
 from myrtlehook_core.process.bids import (
-    REFLECT_REFRESHES,
+    EARLY_CHARGE_REFRESHES,
     PoolBids,
     expire_bids,
     list_candidates,
-    note_early_charge,
-    note_granted,
     pick_bidder,
-    take_bid,
-    take_bid_row,
+    record_bid,
+    record_bid_row,
+    record_early_charge,
+    record_grant,
 )
 from myrtlehook_core.process.choosers import (
     Candidate,
@@ -36,22 +36,22 @@
     Release,
 )
 from myrtlehook_core.process.options import CoreOptions
-from myrtlehook_core.process.posts import Post
+from myrtlehook_core.process.outboxes import MessageOutbox
 from myrtlehook_core.process.slots import (
     Hold,
     ServerSlots,
     count_free_slots,
     expire_holds,
-    held_by,
+    find_held_grants,
+    record_load,
     release_hold,
     renew_holds,
     replace_holds,
-    take_load,
 )
 from myrtlehook_core.version.configurations import BackendServer, Configuration
 
 GRANT_ID_SPACE = 1 << 48
-"""Grant ids start at a random number of this space, so that owners do not collide."""
+"""Each owner draws its first grant id from this range, so that ids of owners do not collide."""
 
 
 @dataclass(slots=True)
@@ -67,21 +67,21 @@
 
 @dataclass(slots=True)
 class OwnerContext:
-    """What the owner's functions need besides their own state."""
+    """Dependencies of the owner's functions besides the owner's own state."""
 
     options: CoreOptions
     configuration: Configuration
     other_owners: Callable[[str], tuple[str, ...]]
     """The other routers that own servers of a pool."""
     backoffs: Backoffs
-    """Of the servers that want nothing of this router."""
+    """Back-offs that backend servers have requested from this router."""
     draw: Draw
-    out: Outbox
-    post: Post
+    actions: Outbox
+    outbox: MessageOutbox
 
 
 def set_owned_servers(owner: SlotOwner, names: set[str], now_s: float) -> None:
-    """Take over the servers that are newly owned, and drop what is owned no longer."""
+    """Adopt servers that are newly owned, and drop those that no longer are."""
     for name in list(owner.servers):
         if name not in names:
             del owner.servers[name]
@@ -92,8 +92,8 @@
             owner.next_poll_s[name] = now_s
 
 
-def drop_beliefs(owner: SlotOwner, now_s: float) -> None:
-    """Forget bids, holds and reports, as after a pause; owned servers are adopted anew."""
+def reset_owner_state(owner: SlotOwner, now_s: float) -> None:
+    """Drop bids, holds and load reports after a pause, and adopt the owned servers again."""
     owner.bids.clear()
     for name in list(owner.servers):
         owner.servers[name] = ServerSlots(owned_since_s=now_s)
@@ -102,9 +102,12 @@
 def receive_bid(
     owner: SlotOwner, context: OwnerContext, sender: str, bid: Bid, now_s: float
 ) -> bool:
-    """Take a bid and grant what is free; False when the bid was stale."""
+    """Record a bid and grant free slots of its pool.
+
+    :returns: False when the bid was stale.
+    """
     bids = owner.bids.setdefault(bid.pool, PoolBids())
-    if not take_bid(bids, sender, bid, now_s + context.options.bid_lease_s):
+    if not record_bid(bids, sender, bid, now_s + context.options.bid_lease_s):
         return False
     grant_slots(owner, context, bid.pool, now_s)
     return True
@@ -113,40 +116,43 @@
 def receive_release(
     owner: SlotOwner, context: OwnerContext, sender: str, release: Release, now_s: float
 ) -> None:
-    """Free a slot and grant it again."""
+    """Free a released slot, record the bid row that came with it, and grant free slots."""
     server = owner.servers.get(release.backend_server)
     if server is None:
         return
     release_hold(server, release.grant_id, now_s + context.options.hold_lease_s)
     if release.used and note_end(server.health, release.failed, now_s):
-        context.out.add(ServerEjected(release.backend_server, server.health.ejected_until_s))
+        context.actions.add(ServerEjected(release.backend_server, server.health.ejected_until_s))
     configured = context.configuration.backend_servers.get(release.backend_server)
     if configured is None:
         return
     bids = owner.bids.setdefault(configured.pool, PoolBids())
     deadline_s = now_s + context.options.bid_lease_s
-    take_bid_row(bids, sender, release.row, release.bid_sent_at_s, deadline_s)
+    record_bid_row(bids, sender, release.row, release.bid_sent_at_s, deadline_s)
     grant_slots(owner, context, configured.pool, now_s)
 
 
 def receive_hold_summary(
     owner: SlotOwner, context: OwnerContext, sender: str, summary: HoldSummary, now_s: float
 ) -> None:
-    """Renew a holder's leases, and ask for its list when the counts differ."""
+    """Renew a holder's leases, or query the list of its holds when the counts differ."""
     server = owner.servers.get(summary.backend_server)
     if server is None:
         return
-    if len(held_by(server, sender)) == summary.held_slots:
+    if len(find_held_grants(server, sender)) == summary.held_slots:
         renew_holds(server, sender, now_s + context.options.hold_lease_s)
     else:
-        # A lease that its holder may not know of is not renewed, and so expires.
-        context.post.add(sender, HoldQuery(summary.backend_server))
+        # Leases are not renewed here: one that its holder does not know of has to expire.
+        context.outbox.add(sender, HoldQuery(summary.backend_server))
 
 
 def receive_hold_list(
     owner: SlotOwner, context: OwnerContext, sender: str, message: HoldList, now_s: float
 ) -> None:
-    """Adopt the holds that a router lists, as a new owner does."""
+    """Replace the known holds of a router by those that it lists.
+
+    A new owner learns the holds on its servers this way.
+    """
     server = owner.servers.get(message.backend_server)
     if server is None:
         return
@@ -162,11 +168,11 @@
 def receive_load(
     owner: SlotOwner, context: OwnerContext, report: LoadReported, now_s: float
 ) -> None:
-    """Take a load report of an owned server."""
+    """Record a load report of an owned server, and grant slots that it shows to be free."""
     server = owner.servers.get(report.backend_server)
     if server is None:
         return
-    take_load(server, report.running_requests)
+    record_load(server, report.running_requests)
     configured = context.configuration.backend_servers.get(report.backend_server)
     if configured is not None:
         grant_slots(owner, context, configured.pool, now_s)
@@ -175,16 +181,16 @@
 def receive_early_charge(
     owner: SlotOwner, context: OwnerContext, message: EarlyCharge, now_s: float
 ) -> None:
-    """Take another owner's grant into account until bids show it."""
+    """Record the early charge of another owner's grant until bids include it."""
     bids = owner.bids.get(message.pool)
     if bids is None:
         return
-    reflected_at_s = now_s + REFLECT_REFRESHES * context.options.refresh_interval_s
-    note_early_charge(bids, message.workspace, message.virtual_units, reflected_at_s)
+    expires_at_s = now_s + EARLY_CHARGE_REFRESHES * context.options.refresh_interval_s
+    record_early_charge(bids, message.workspace, message.virtual_units, expires_at_s)
 
 
 def tick_owner(owner: SlotOwner, context: OwnerContext, now_s: float) -> None:
-    """Expire leases and bids, poll load reports, and grant what has become free."""
+    """Expire leases and bids, poll load reports, and grant slots that have become free."""
     for server in owner.servers.values():
         owner.expired_holds += expire_holds(server, now_s)
     for bids in owner.bids.values():
@@ -193,31 +199,31 @@
         configured = context.configuration.backend_servers.get(name)
         if configured is None or math.isinf(context.options.load_interval_s):
             continue
-        if backs_off(context.backoffs, name, now_s):
+        if is_backing_off(context.backoffs, name, now_s):
             continue
         if now_s >= owner.next_poll_s.get(name, 0.0):
             owner.next_poll_s[name] = now_s + context.options.load_interval_s
-            context.out.add(PollLoad(name, configured.address))
+            context.actions.add(PollLoad(name, configured.address))
     for pool in owner.bids:
         grant_slots(owner, context, pool, now_s)
 
 
 def grant_slots(owner: SlotOwner, context: OwnerContext, pool: str, now_s: float) -> None:
-    """Grant every free slot of a pool while any bid waits; none is held back."""
+    """Grant free slots of a pool until none is left or no waiting request can use one."""
     bids = owner.bids.get(pool)
     if bids is None or not bids.routers:
         return
-    free = _free_slots(owner, context, pool, now_s)
+    free = _find_free_slots(owner, context, pool, now_s)
     if not free:
         return
-    choose = _chooser(context, pool)
+    choose = _select_chooser(context, pool)
     while free:
         name = max(free, key=lambda server: (free[server], server))
-        candidates = list_candidates(bids, _share_lookup(context.configuration), name)
-        if not candidates and not any(bid.barred_servers for bid in bids.routers.values()):
+        candidates = list_candidates(bids, _make_share_lookup(context.configuration), name)
+        if not candidates and not any(bid.excluded_servers for bid in bids.routers.values()):
             return
         if not candidates:
-            # Whoever has work waiting sends this server nothing.
+            # Every router with waiting requests excludes this server.
             del free[name]
             continue
         _grant_one(owner, context, bids, name, choose(candidates, context.draw), now_s)
@@ -227,8 +233,8 @@
 
 
 def count_free_in_pool(owner: SlotOwner, context: OwnerContext, pool: str, now_s: float) -> int:
-    """Return how many slots of a pool this router could grant at once."""
-    return sum(_free_slots(owner, context, pool, now_s).values())
+    """Return how many slots of a pool this router could grant now."""
+    return sum(_find_free_slots(owner, context, pool, now_s).values())
 
 
 def _grant_one(
@@ -241,41 +247,44 @@
 ) -> None:
     options = context.options
     router = pick_bidder(bids, candidate.workspace, backend_server, context.draw)
-    note_granted(bids, router, candidate.workspace)
+    record_grant(bids, router, candidate.workspace)
     pool = context.configuration.backend_servers[backend_server].pool
     if options.early_charge:
         _charge_early(context, bids, pool, candidate, now_s)
     grant_id = owner.next_grant_id
     owner.next_grant_id += 1
-    # The holder's next list renews the lease; a grant that is lost expires soon.
+    # The holder's next hold summary or list renews the lease. The first deadline is short, so that
+    # a grant whose message is lost frees its slot soon.
     first_deadline_s = now_s + options.unconfirmed_lease_s
     hold = Hold(router, candidate.workspace, now_s, first_deadline_s)
     owner.servers[backend_server].holds[grant_id] = hold
     sent_at_s = bids.routers[router].sent_at_s
     floor_units = round(bids.floor_units)
     message = Grant(grant_id, backend_server, pool, candidate.workspace, sent_at_s, floor_units)
-    context.post.add(router, message)
+    context.outbox.add(router, message)
 
 
 def _charge_early(
     context: OwnerContext, bids: PoolBids, pool: str, candidate: Candidate, now_s: float
 ) -> None:
-    """Charge a grant here at once and, in a small pool, at its other owners too.
+    """Charge a grant here at once and, in a pool with few owners, at the other owners too.
 
-    Between two refreshes the owners would otherwise all feed the workspace that
-    was lowest at the last one.
+    Without this charge, all owners would grant to the same workspace between two refreshes: the
+    one whose virtual service was lowest at the last refresh.
     """
     virtual_units = candidate.mean_cost_units / candidate.share
-    reflected_at_s = now_s + REFLECT_REFRESHES * context.options.refresh_interval_s
-    note_early_charge(bids, candidate.workspace, virtual_units, reflected_at_s)
+    expires_at_s = now_s + EARLY_CHARGE_REFRESHES * context.options.refresh_interval_s
+    record_early_charge(bids, candidate.workspace, virtual_units, expires_at_s)
     others = context.other_owners(pool)
     if len(others) > context.options.charge_fanout:
         return
     for owner in others:
-        context.post.add(owner, EarlyCharge(pool, candidate.workspace, virtual_units))
+        context.outbox.add(owner, EarlyCharge(pool, candidate.workspace, virtual_units))
 
 
-def _free_slots(owner: SlotOwner, context: OwnerContext, pool: str, now_s: float) -> dict[str, int]:
+def _find_free_slots(
+    owner: SlotOwner, context: OwnerContext, pool: str, now_s: float
+) -> dict[str, int]:
     free: dict[str, int] = {}
     for name, server in owner.servers.items():
         configured = context.configuration.backend_servers.get(name)
@@ -302,16 +311,16 @@
     return now_s >= server.owned_since_s + context.options.adopt_delay_s
 
 
-def _chooser(context: OwnerContext, pool: str) -> Chooser:
-    # Owners that hear of each other's grants at once do not herd, so strictly
-    # lowest first is best there; where they do not, chance must spread them.
+def _select_chooser(context: OwnerContext, pool: str) -> Chooser:
+    # Where owners send each other early charges, strictly lowest first is best: they do not
+    # herd on one workspace. In pools with more owners, a random choice has to spread them.
     few = len(context.other_owners(pool)) <= context.options.charge_fanout
     if few or not context.options.weighted_choice:
         return choose_lowest
     return make_weighted_chooser(context.options.choice_spread_units)
 
 
-def _share_lookup(configuration: Configuration) -> Callable[[str], float | None]:
+def _make_share_lookup(configuration: Configuration) -> Callable[[str], float | None]:
     def find_share(workspace: str) -> float | None:
         found = configuration.workspaces.get(workspace)
         return None if found is None else found.share
--- a/packages/core/src/myrtlehook_core/process/quarantine_handlers.py
+++ b/packages/core/src/myrtlehook_core/process/quarantine_handlers.py
@@ -5,8 +5,8 @@
 from myrtlehook_core.process import events
 from myrtlehook_core.process.actions import QuarantineCause, QuarantineNoted, ServerEndCounted
 from myrtlehook_core.process.admission_ends import refuse_admission
-from myrtlehook_core.process.entries import count_queued
 from myrtlehook_core.process.hashing import rank_routers
+from myrtlehook_core.process.ingress import update_queue_counts
 from myrtlehook_core.process.membership_messages import News
 from myrtlehook_core.process.probing import announce, announce_near
 from myrtlehook_core.process.quarantine import (
@@ -127,7 +127,7 @@
         ]
         for request in held:
             remove_request(queue, request.request_id)
-            count_queued(core.entry, request, -1)
+            update_queue_counts(core.entry, request, -1)
             refuse_request(core.entry, context, request, RefusalReason.QUARANTINED, now_s)
 
 
--- a/packages/core/src/myrtlehook_core/process/routers.py
+++ b/packages/core/src/myrtlehook_core/process/routers.py
@@ -30,11 +30,11 @@
 from myrtlehook_core.process.engine_loads import EngineFigures, find_backlog, find_window
 from myrtlehook_core.process.engine_models import describe_model
 from myrtlehook_core.process.engine_queues import drop_queue_beliefs, set_owned_engines
-from myrtlehook_core.process.entries import (
-    Entry,
-    EntryContext,
-)
 from myrtlehook_core.process.event_handlers import EVENT_HANDLERS
+from myrtlehook_core.process.ingress import (
+    IngressContext,
+    IngressState,
+)
 from myrtlehook_core.process.leaving_servers import LeavingServers, mark_leaving
 from myrtlehook_core.process.ledgers import Ledger
 from myrtlehook_core.process.members import (
@@ -48,15 +48,15 @@
 from myrtlehook_core.process.message_handlers import MESSAGE_HANDLERS
 from myrtlehook_core.process.messages import Message
 from myrtlehook_core.process.options import CoreOptions
+from myrtlehook_core.process.outboxes import MessageOutbox
 from myrtlehook_core.process.owners import (
     GRANT_ID_SPACE,
     OwnerContext,
     SlotOwner,
-    drop_beliefs,
+    reset_owner_state,
     set_owned_servers,
 )
-from myrtlehook_core.process.placements import Placement, owned_servers, refresh_placement
-from myrtlehook_core.process.posts import Post
+from myrtlehook_core.process.placements import Placement, find_owned_servers, refresh_placement
 from myrtlehook_core.process.probing import (
     ProbeContext,
     Prober,
@@ -64,7 +64,7 @@
 from myrtlehook_core.process.quarantine import Quarantine, collect_rows
 from myrtlehook_core.process.quarantine_handlers import refuse_waiting
 from myrtlehook_core.process.quarantine_messages import QuarantineRow
-from myrtlehook_core.process.refusals import refuse_hopeless
+from myrtlehook_core.process.refusals import refuse_unservable
 from myrtlehook_core.process.shares import Shares
 from myrtlehook_core.process.source_messages import ReaderRow
 from myrtlehook_core.process.source_readers import SourceReaders, collect_readers
@@ -99,7 +99,7 @@
         self._applied_revisions = (0, 0)
         self._applied_base = self.exchange.current
         self._configuration = self.exchange.current
-        self.entry = Entry(options.retry_burst)
+        self.entry = IngressState(options.retry_burst)
         self.owner = SlotOwner(int(draw() * GRANT_ID_SPACE))
         self.ledger = Ledger()
         self.admissions = Admissions()
@@ -111,7 +111,7 @@
         self.last_tick_s: float | None = None
         self.out = Outbox()
         """The actions of the event being handled."""
-        self.post = Post()
+        self.post = MessageOutbox()
         """The messages of the event being handled."""
 
     @property
@@ -137,7 +137,7 @@
     def handle(self, event: events.Event, now_s: float) -> list[Action]:
         """Take one event and return the actions that it calls for, in order."""
         self.out = Outbox()
-        self.post = Post()
+        self.post = MessageOutbox()
         self._now_s = now_s
         self._notice_pause(now_s)
         EVENT_HANDLERS[type(event)](self, event, now_s)
@@ -170,15 +170,15 @@
 
     # -- what the features need -------------------------------------------------
 
-    def entry_context(self) -> EntryContext:
+    def entry_context(self) -> IngressContext:
         """Return the entry's context for this event."""
-        return EntryContext(
+        return IngressContext(
             options=self.options,
             configuration=self.configuration,
             draining=self.table.draining,
             draw=self.draw,
-            out=self.out,
-            post=self.post,
+            actions=self.out,
+            outbox=self.post,
             quarantine=self.quarantine,
         )
 
@@ -190,8 +190,8 @@
             other_owners=self._other_owners,
             backoffs=self.entry.backoffs,
             draw=self.draw,
-            out=self.out,
-            post=self.post,
+            actions=self.out,
+            outbox=self.post,
         )
 
     def admission_context(self) -> AdmissionContext:
@@ -273,7 +273,7 @@
         before = self.placement.server_owners
         if not refresh_placement(self.placement, self.table, self.configuration):
             return
-        owned = owned_servers(self.placement, self.identity.router_id)
+        owned = find_owned_servers(self.placement, self.identity.router_id)
         set_owned_servers(self.owner, owned, now_s)
         set_owned_engines(
             self.queues, owned, self.configuration, now_s, self.options, self.cold.deadlines_s
@@ -302,12 +302,12 @@
         # What was believed before the pause may have moved to other routers.
         self.last_tick_s = now_s
         self.out.add(PauseNoticed(late_s))
-        drop_beliefs(self.owner, now_s)
+        reset_owner_state(self.owner, now_s)
         drop_queue_beliefs(self.queues, now_s)
-        self.entry.told.clear()
+        self.entry.advertised_requests.clear()
         self.prober.pending.clear()
         self.prober.missed.clear()
         for member in self.table.members.values():
             if member.state is MemberState.SUSPECT:
                 member.suspect_deadline_s = now_s + self.options.suspicion_s
-        refuse_hopeless(self.entry, self.entry_context(), now_s)
+        refuse_unservable(self.entry, self.entry_context(), now_s)
--- a/packages/core/src/myrtlehook_core/process/server_notice_handlers.py
+++ b/packages/core/src/myrtlehook_core/process/server_notice_handlers.py
@@ -4,12 +4,12 @@
 
 from myrtlehook_core.process import events
 from myrtlehook_core.process.actions import ServerBackoffNoted, ServerLeavingNoted
-from myrtlehook_core.process.backoffs import note_backoff
-from myrtlehook_core.process.bidding import bid_to
+from myrtlehook_core.process.backoffs import record_backoff
+from myrtlehook_core.process.bidding import send_bid
 from myrtlehook_core.process.leaving_servers import make_row, note_leaving
 from myrtlehook_core.process.members import count_news
 from myrtlehook_core.process.membership_messages import LeavingNotice
-from myrtlehook_core.process.refusals import refuse_hopeless
+from myrtlehook_core.process.refusals import refuse_unservable
 
 if TYPE_CHECKING:
     from myrtlehook_core.process.routers import RouterCore
@@ -52,11 +52,11 @@
     # Its entry may have gone for a moment: its word holds when it is back.
     pool = "" if server is None else server.pool
     entry = core.entry
-    if not note_backoff(entry.backoffs, name, pool, event.backoff_until_s):
+    if not record_backoff(entry.backoffs, name, pool, event.backoff_until_s):
         return
     core.out.add(ServerBackoffNoted(name, event.backoff_until_s, event.request_id))
     owner = core.placement.server_owners.get(name)
-    if owner is not None and entry.told.get(owner):
+    if owner is not None and entry.advertised_requests.get(owner):
         # Bids tell it: an owner that does not know would grant slots that come back unused.
-        bid_to(entry, pool, owner, core.post, now_s)
-    refuse_hopeless(entry, core.entry_context(), now_s)
+        send_bid(entry, pool, owner, core.post, now_s)
+    refuse_unservable(entry, core.entry_context(), now_s)
--- a/packages/core/src/myrtlehook_core/process/shares.py
+++ b/packages/core/src/myrtlehook_core/process/shares.py
@@ -1,12 +1,13 @@
-"""Max-min shares of a pool's capacity, from what all routers were asked for.
-
-Each router reports what its callers asked of a pool within a sliding window to one router, the
-pool's accountant (the highest rendezvous hash). The accountant works out the level at which
-workspaces that ask for more are held, so that together they get what the pool can do. In a
-large fleet one router of each availability zone, its collector, adds the reports of the zone
-up and answers them with the level it was told last. An entry gives each request a tier: 0
-within its workspace's level, 1 up to twice the level, and so on. Lower tiers are served first,
-so that room that is left over is shared alike as well, whatever the engines can really do.
+"""Max-min fair shares of a pool's capacity, computed from the demand at all routers.
+
+Each router reports the demand of its clients on a pool within a sliding window to the pool's
+accountant, which is the router with the highest rendezvous hash. The accountant computes the
+level: the number of tokens to which workspaces with a higher demand are limited, so that the
+demand of all workspaces together fits the pool's capacity. In a large fleet, one router of each
+availability zone, the zone's collector, sums the reports of the zone and answers them with the
+level that it received last. The ingress router gives each request a tier: 0 within its
+workspace's level, 1 up to twice the level, and so on. Lower tiers are served first, so that
+spare capacity is shared evenly too, whatever the engines' real capacity is.
 """
 
 import math
@@ -16,9 +17,9 @@
 
 from myrtlehook_core.process.accountants import (
     PoolAccount,
-    forget_late,
-    note_report,
-    sum_rows,
+    expire_reports,
+    record_report,
+    sum_reports,
 )
 from myrtlehook_core.process.admission_messages import (
     DemandReport,
@@ -26,101 +27,101 @@
     ShareLevel,
 )
 from myrtlehook_core.process.hashing import rank_routers
-from myrtlehook_core.process.posts import Post
+from myrtlehook_core.process.outboxes import MessageOutbox
 
 BUCKET_S = 0.25
-"""The window slides in steps of this length."""
+"""Length of the steps in which the window slides."""
 
 LEVEL_LEASE_S = 1.0
-"""A level that is not refreshed for this long counts no more."""
+"""Time after which a level that was not refreshed is no longer applied."""
 
-COLLECTED_ROUTERS = 24
-"""From so many routers on, each zone's reports are added up before they leave it: a report
-of a zone is no longer than that of one busy router, and levels are 0.2 s older."""
+MIN_ROUTERS_FOR_COLLECTORS = 24
+"""Number of routers from which on each zone's reports are summed by a collector. The report of a
+zone is no longer than that of one busy router; in return, levels are 0.2 s older."""
 
-RETURNED_LEVELS = 0.5
-"""A workspace that is refused may save this much of a level for later requests. More of it lets
-requests in that engines cannot take once some of them are lost."""
+MAX_RETURNED_LEVELS = 0.5
+"""Limit, in levels, up to which refused requests restore the credit of their workspace. A higher
+limit admits requests that engines cannot take once some of them are lost."""
 
 HIGHEST_TIER = 15
-"""Everything beyond so many levels counts alike."""
+"""Tier of all demand beyond this number of levels."""
 
 
 @dataclass(frozen=True, slots=True)
 class Reporters:
-    """The routers that report, in the sender's view."""
+    """The routers that report demand, as the sending router knows them."""
 
     router_id: str
-    """The sender."""
+    """The sending router."""
     routers: tuple[str, ...]
-    near: tuple[str, ...]
-    """Those of the sender's availability zone."""
+    zone_routers: tuple[str, ...]
+    """The routers of the sender's availability zone."""
 
 
 @dataclass(slots=True)
 class DemandBucket:
-    """What was asked within one step of the window."""
+    """Demand within one step of the window."""
 
     begins_at_s: float
     asked_tokens: dict[str, int] = field(default_factory=dict)
     """By workspace."""
     refused_tokens: dict[str, int] = field(default_factory=dict)
-    """By workspace, of what was asked in this step, whenever it was refused."""
+    """By workspace. Tokens asked for in this step and refused, at whatever time."""
     granted_tokens: dict[str, int] = field(default_factory=dict)
-    """By workspace, what engines took in this step, whenever it was asked."""
+    """By workspace. Tokens that engines took in this step, whenever they were asked for."""
 
 
 @dataclass(slots=True)
 class PoolDemand:
-    """What this router's callers have asked of one pool, and what it may serve of it."""
+    """The demand of this router's clients on one pool, and the level that applies to it."""
 
     buckets: deque[DemandBucket] = field(default_factory=deque)
     level: ShareLevel | None = None
     level_deadline_s: float = 0.0
-    parts: dict[str, float] = field(default_factory=dict)
-    """For each workspace that asks for too much, the part of it that one level holds."""
+    level_fractions: dict[str, float] = field(default_factory=dict)
+    """The level as a fraction of the workspace's demand, for each workspace above the level."""
     reported: bool = False
-    """Whether the last report had any rows."""
-    credits_tokens: dict[str, list[float]] = field(default_factory=dict)
-    """What each of them has not used yet of each tier."""
+    """Whether the last report contained rows."""
+    tier_credits_tokens: dict[str, list[float]] = field(default_factory=dict)
+    """Unused credit by tier, for each workspace above the level."""
 
 
 @dataclass(slots=True)
 class Shares:
-    """Both sides: this router's demand, and what it adds up as accountant."""
+    """The demand at this router, and the demand that it sums as an accountant or collector."""
 
     demands: dict[str, PoolDemand] = field(default_factory=dict)
     accounts: dict[str, PoolAccount] = field(default_factory=dict)
-    """By pool, what this router knows as its accountant."""
-    collected: dict[str, PoolAccount] = field(default_factory=dict)
-    """By pool, what this router adds up for its availability zone."""
+    """By pool. The reports that this router has received as the pool's accountant."""
+    zone_accounts: dict[str, PoolAccount] = field(default_factory=dict)
+    """By pool. The reports that this router has received as its zone's collector."""
     next_report_s: float = 0.0
 
 
-def note_asked(shares: Shares, pool: str, workspace: str, tokens: int, now_s: float) -> int:
-    """Count a new request and return its tier."""
+def record_asked(shares: Shares, pool: str, workspace: str, tokens: int, now_s: float) -> int:
+    """Record the demand of a new request and return the request's tier."""
     demand = shares.demands.setdefault(pool, PoolDemand())
     asked = _find_bucket(demand, now_s).asked_tokens
     asked[workspace] = asked.get(workspace, 0) + tokens
-    part = demand.parts.get(workspace)
-    if part is None or now_s >= demand.level_deadline_s:
+    level_fraction = demand.level_fractions.get(workspace)
+    if level_fraction is None or now_s >= demand.level_deadline_s:
         return 0
-    return _spend_credit(demand, workspace, part, tokens)
+    return _spend_credit(demand, workspace, level_fraction, tokens)
 
 
-def note_granted(shares: Shares, pool: str, workspace: str, tokens: int, now_s: float) -> None:
-    """Count a request that an engine has taken."""
+def record_granted(shares: Shares, pool: str, workspace: str, tokens: int, now_s: float) -> None:
+    """Record the tokens of a request that an engine has taken."""
     demand = shares.demands.setdefault(pool, PoolDemand())
     granted = _find_bucket(demand, now_s).granted_tokens
     granted[workspace] = granted.get(workspace, 0) + tokens
 
 
-def note_refused(
+def record_refused(
     shares: Shares, pool: str, workspace: str, tokens: int, tier: int, asked_at_s: float
 ) -> None:
-    """Count a request that no engine took, in the step of the window in which it was asked.
+    """Record a request that no engine took, in the window step in which it was asked for.
 
-    What it has spent of its workspace's share is given back.
+    A request of tier 0 returns its credit to its workspace.
     """
     demand = shares.demands.get(pool)
     if demand is None:
@@ -135,24 +136,24 @@
 
 
 def asks_above_share(shares: Shares, pool: str, workspace: str, now_s: float) -> bool:
-    """Tell whether a workspace asks for more than its share, across all routers."""
+    """Return whether a workspace's demand across all routers exceeds its share."""
     demand = shares.demands.get(pool)
     if demand is None or now_s >= demand.level_deadline_s:
         return False
-    return workspace in demand.parts
+    return workspace in demand.level_fractions
 
 
-def _spend_credit(demand: PoolDemand, workspace: str, part: float, tokens: int) -> int:
-    """Spread a workspace's requests over its tiers, each up to one level.
+def _spend_credit(demand: PoolDemand, workspace: str, level_fraction: float, tokens: int) -> int:
+    """Assign a request to a tier, so that each tier gets up to one level of the demand.
 
-    Every request earns each tier its part of credit; the lowest tier that can pay at
-    least half of the request takes it.
+    Every request adds the fraction ``level_fraction`` of its tokens to the credit of each tier. The
+    request is charged to the lowest tier whose credit covers at least half of its tokens.
     """
-    tiers = min(math.ceil(1.0 / part), HIGHEST_TIER + 1)
-    credits_tokens = demand.credits_tokens.setdefault(workspace, [])
+    tiers = min(math.ceil(1.0 / level_fraction), HIGHEST_TIER + 1)
+    credits_tokens = demand.tier_credits_tokens.setdefault(workspace, [])
     credits_tokens.extend([0.0] * (tiers - len(credits_tokens)))
     for tier in range(tiers):
-        credits_tokens[tier] += part * tokens
+        credits_tokens[tier] += level_fraction * tokens
     for tier in range(tiers):
         if credits_tokens[tier] >= tokens / 2.0:
             credits_tokens[tier] -= tokens
@@ -161,24 +162,28 @@
 
 
 def _return_credit(demand: PoolDemand, workspace: str, tokens: int) -> None:
-    """Let a workspace spend on a later request the share that an engine has not taken.
+    """Return the credit of a refused request, so that a later request can use it.
 
-    A share is what a workspace receives. Long prompts are refused more often than short ones
-    that ask for as much; if a refused request spent its share, its workspace would receive
-    less the longer its prompts are. What exceeds a share is not given back: engines cannot take
-    all of that, and whoever asks the most would get the most.
+    A share limits the tokens that a workspace receives, not those that it asks for. Requests with
+    long prompts are refused more often than those with short ones for the same demand. If refused
+    requests used up the share, a workspace would receive less the longer its prompts are. Credit
+    beyond the share is not returned: engines cannot take all of that demand, so the workspace
+    with the largest demand would receive the most.
     """
-    credits_tokens = demand.credits_tokens.get(workspace)
+    credits_tokens = demand.tier_credits_tokens.get(workspace)
     if not credits_tokens or demand.level is None:
         return
-    most_tokens = max(credits_tokens[0], RETURNED_LEVELS * demand.level.level_tokens)
-    credits_tokens[0] = min(credits_tokens[0] + tokens, most_tokens)
+    limit_tokens = max(credits_tokens[0], MAX_RETURNED_LEVELS * demand.level.level_tokens)
+    credits_tokens[0] = min(credits_tokens[0] + tokens, limit_tokens)
 
 
-def send_demands(
-    shares: Shares, reporters: Reporters, window_s: float, post: Post, now_s: float
+def send_demand_reports(
+    shares: Shares, reporters: Reporters, window_s: float, outbox: MessageOutbox, now_s: float
 ) -> None:
-    """Report what was asked here; nothing while nothing is."""
+    """Report the demand at this router for each pool.
+
+    When the demand on a pool has ended, one empty report is sent, and then none.
+    """
     for pool, demand in shares.demands.items():
         while demand.buckets and now_s - demand.buckets[0].begins_at_s > window_s:
             demand.buckets.popleft()
@@ -189,32 +194,34 @@
         accountant = find_accountant(pool, reporters.routers)
         collector = find_collector(pool, reporters) or accountant
         if collector is not None:
-            post.add(collector, DemandReport(pool, rows, collector != accountant))
+            outbox.add(collector, DemandReport(pool, rows, collector != accountant))
 
 
-def send_collected(shares: Shares, reporters: Reporters, post: Post, now_s: float) -> None:
-    """Send on to the accountants what this router has added up for its zone.
+def send_zone_reports(
+    shares: Shares, reporters: Reporters, outbox: MessageOutbox, now_s: float
+) -> None:
+    """Send the demand that this router has summed for its zone to the accountants.
 
-    Where another router collects by now, or the accountant itself, a sum would count what
-    that one counts already.
+    A sum is dropped if this router is no longer the pool's collector, or is its accountant itself:
+    the demand would be counted twice.
     """
-    for pool, account in list(shares.collected.items()):
-        forget_late(account, now_s)
+    for pool, account in list(shares.zone_accounts.items()):
+        expire_reports(account, now_s)
         accountant = find_accountant(pool, reporters.routers)
         collector = find_collector(pool, reporters)
         is_collector = collector == reporters.router_id != accountant
         if accountant is not None and is_collector:
-            post.add(accountant, DemandReport(pool, sum_rows(account)))
-        if not is_collector or not account.heard:
-            del shares.collected[pool]
+            outbox.add(accountant, DemandReport(pool, sum_reports(account)))
+        if not is_collector or not account.reports:
+            del shares.zone_accounts[pool]
 
 
-def take_zone_report(
+def record_zone_report(
     shares: Shares, sender: str, report: DemandReport, now_s: float
 ) -> ShareLevel | None:
-    """Add a report of the own zone up; returns the level in force, if it is known."""
-    account = shares.collected.setdefault(report.pool, PoolAccount())
-    note_report(account, sender, report.rows, now_s)
+    """Record a report from this router's zone; return the current level, or None if unknown."""
+    account = shares.zone_accounts.setdefault(report.pool, PoolAccount())
+    record_report(account, sender, report.rows, now_s)
     demand = shares.demands.get(report.pool)
     if demand is None or now_s >= demand.level_deadline_s:
         return None
@@ -222,38 +229,38 @@
 
 
 def find_collector(pool: str, reporters: Reporters) -> str | None:
-    """Return the router that adds up a pool's demand for its availability zone.
+    """Return the router that sums a pool's demand for the availability zone.
 
     None in a small fleet, whose routers all report to the accountant.
     """
-    if len(reporters.routers) < COLLECTED_ROUTERS:
+    if len(reporters.routers) < MIN_ROUTERS_FOR_COLLECTORS:
         return None
-    found = rank_routers(f"shares/{pool}", reporters.near, 1)
+    found = rank_routers(f"shares/{pool}", reporters.zone_routers, 1)
     return found[0] if found else None
 
 
 def find_accountant(pool: str, routers: tuple[str, ...]) -> str | None:
-    """Return the router that adds up a pool's demand."""
+    """Return the router that sums a pool's demand and computes its level."""
     found = rank_routers(f"shares/{pool}", routers, 1)
     return found[0] if found else None
 
 
-def take_level(shares: Shares, level: ShareLevel, now_s: float) -> None:
-    """Take the level that the accountant worked out."""
+def apply_level(shares: Shares, level: ShareLevel, now_s: float) -> None:
+    """Apply the level that a pool's accountant has computed."""
     demand = shares.demands.setdefault(level.pool, PoolDemand())
     demand.level = level
     demand.level_deadline_s = now_s + LEVEL_LEASE_S
-    demand.parts = {
+    demand.level_fractions = {
         row.workspace: level.level_tokens / row.asked_tokens
         for row in level.rows
         if level.level_tokens > 0 and row.asked_tokens > 0
     }
-    for workspace in demand.credits_tokens.keys() - demand.parts.keys():
-        del demand.credits_tokens[workspace]
+    for workspace in demand.tier_credits_tokens.keys() - demand.level_fractions.keys():
+        del demand.tier_credits_tokens[workspace]
 
 
 def _find_bucket(demand: PoolDemand, now_s: float) -> DemandBucket:
-    """Return the window's present step, which may be a new one."""
+    """Return the current step of the window, and open a new one if it is due."""
     if not demand.buckets or now_s - demand.buckets[-1].begins_at_s >= BUCKET_S:
         demand.buckets.append(DemandBucket(now_s))
     return demand.buckets[-1]
--- a/packages/core/src/myrtlehook_core/process/statuses.py
+++ b/packages/core/src/myrtlehook_core/process/statuses.py
@@ -2,9 +2,9 @@
 
 from dataclasses import dataclass
 
-from myrtlehook_core.process.entries import virtual_service_units
+from myrtlehook_core.process.ingress import compute_virtual_service_units
 from myrtlehook_core.process.routers import RouterCore
-from myrtlehook_core.process.slots import foreign_requests
+from myrtlehook_core.process.slots import count_foreign_requests
 
 
 @dataclass(frozen=True, slots=True)
@@ -93,7 +93,7 @@
                 leaving=server.leaving,
                 slots=server.slots,
                 held_slots=None if owned is None else len(owned.holds),
-                foreign_requests=None if owned is None else foreign_requests(owned),
+                foreign_requests=None if owned is None else count_foreign_requests(owned),
             )
         )
     return described
@@ -113,7 +113,7 @@
                 queued_requests=0 if queue is None else len(queue.waiting),
                 queued_bytes=0 if queue is None else queue.queued_bytes,
                 running_requests=0 if account is None else len(account.charges),
-                virtual_service_units=virtual_service_units(entry, key),
+                virtual_service_units=compute_virtual_service_units(entry, key),
                 served_here_units=0.0 if account is None else account.served_units,
             )
         )
--- a/packages/router/src/myrtlehook_router/process/gateway_daemons.py
+++ b/packages/router/src/myrtlehook_router/process/gateway_daemons.py
@@ -257,7 +257,7 @@
                 member.state is MemberState.ALIVE for member in core.table.members.values()
             ),
             "backend_connections_opened": self._clients.opened,
-            "shed_part": self._shedding.part,
+            "shed_part": self._shedding.refused_fraction,
             "quarantined_requests": count_held(core.quarantine, clocks.now_s()),
             "reads_source": float(self._reading.wanted),
             "log_lines_dropped": self._log_stream.dropped_lines,
--- a/packages/router/src/myrtlehook_router/process/lags.py
+++ b/packages/router/src/myrtlehook_router/process/lags.py
@@ -32,6 +32,6 @@
         now_s = clocks.now_s()
         lag_s = now_s - wanted_s
         note_lag(shedding, lag_s, now_s)
-        if shed != (shedding.part > 0.0):
-            shed = shedding.part > 0.0
+        if shed != (shedding.refused_fraction > 0.0):
+            shed = shedding.refused_fraction > 0.0
             _log.info("shedding" if shed else "shedding ended", lag_ms=round(lag_s * 1000.0, 1))
--- a/tests/standins/engine_models.py
+++ b/tests/standins/engine_models.py
@@ -45,7 +45,7 @@
     set_owned_engines,
     tick_queues,
 )
-from myrtlehook_core.process.posts import Post
+from myrtlehook_core.process.outboxes import MessageOutbox
 
 ENGINE = "e0"
 POOL = "model"
@@ -182,7 +182,7 @@
         return self.read_s / self.waiting_s if self.waiting_s else 1.0
 
     def _decide(self, work: Callable[[QueueContext], object]) -> None:
-        post = Post()
+        post = MessageOutbox()
         context = QueueContext(
             options=self.options,
             configuration=self.configuration,
--- a/tests/steps/accountant_steps.py
+++ b/tests/steps/accountant_steps.py
@@ -12,10 +12,10 @@
     REPORT_LEASE_S,
     UNLIMITED,
     PoolAccount,
-    find_level,
-    find_shared_tokens,
-    note_report,
-    take_demand,
+    compute_level,
+    compute_shared_tokens,
+    record_demand,
+    record_report,
 )
 from myrtlehook_core.process.admission_messages import DemandReport, DemandRow
 
@@ -35,13 +35,13 @@
         now_s = 0.0
         for router, rows in heard:
             now_s += REPORT_STEP_S
-            take_demand(accounts, router, DemandReport("p", tuple(rows)), capacity, now_s)
+            record_demand(accounts, router, DemandReport("p", tuple(rows)), capacity, now_s)
         # Any later report brings the level up to date.
         now_s += REPORT_STEP_S
-        told = take_demand(accounts, "r9", DemandReport("p", ()), capacity, now_s)
+        told = record_demand(accounts, "r9", DemandReport("p", ()), capacity, now_s)
         sums = _sum_last(heard, now_s)
         asked = [row.asked_tokens for row in sums]
-        level = find_level(asked, find_shared_tokens(account_of(sums), float(capacity)))
+        level = compute_level(asked, compute_shared_tokens(account_of(sums), float(capacity)))
         assert told.level_tokens == (UNLIMITED if level is None else round(level)), (told, sums)
         assert {*told.rows} == {
             row for row in sums if level is not None and row.asked_tokens > level
@@ -53,7 +53,7 @@
 def account_of(rows: Iterable[DemandRow]) -> PoolAccount:
     """Return the account of one router that has reported all of this."""
     account = PoolAccount()
-    note_report(account, "r", tuple(rows), 0.0)
+    record_report(account, "r", tuple(rows), 0.0)
     return account
 
 
--- a/tests/steps/admission_steps.py
+++ b/tests/steps/admission_steps.py
@@ -23,7 +23,7 @@
     choose_pool,
     find_route,
 )
-from myrtlehook_core.process.accountants import find_level, take_demand
+from myrtlehook_core.process.accountants import compute_level, record_demand
 from myrtlehook_core.process.admission_messages import DemandReport, DemandRow
 from myrtlehook_core.process.ejections import (
     FAILURES_IN_A_ROW,
@@ -33,7 +33,7 @@
     note_end,
 )
 from myrtlehook_core.process.prompt_caches import PromptCache, count_unread, use_parts
-from myrtlehook_core.process.shares import Shares, note_asked, take_level
+from myrtlehook_core.process.shares import Shares, apply_level, record_asked
 from myrtlehook_core.version.discovery import Discovery, expire_lapsed, take_servers
 from myrtlehook_core.version.exchange import ConfigurationExchange, take_document
 from standins.histories import History, Network
@@ -135,7 +135,7 @@
 def check_level(context: Any) -> None:
     @given(st.lists(st.integers(0, 100_000), min_size=1, max_size=20), st.integers(1, 500_000))
     def check(demands: list[int], capacity: int) -> None:
-        level = find_level(demands, float(capacity))
+        level = compute_level(demands, float(capacity))
         if level is None:
             assert sum(demands) <= capacity
             return
@@ -153,10 +153,10 @@
         total = sum(sizes)
         # Engines take just what is configured.
         report = DemandReport("p", (DemandRow("w", total, 0, math.ceil(total / over)),))
-        take_level(shares, take_demand({}, "r", report, total / over, 0.0), 0.0)
+        apply_level(shares, record_demand({}, "r", report, total / over, 0.0), 0.0)
         held: Counter[int] = Counter()
         for size in sizes:
-            held[note_asked(shares, "p", "w", size, 0.1)] += size
+            held[record_asked(shares, "p", "w", size, 0.1)] += size
         # A level is whole tokens, so that the last tier may spill over by a little.
         assert set(held) <= set(range(over + 1)), held
         for tier in range(over - 1):
--- a/tests/steps/engine_model_steps.py
+++ b/tests/steps/engine_model_steps.py
@@ -14,7 +14,7 @@
 from myrtlehook_core.process.engine_decisions import QueueContext
 from myrtlehook_core.process.engine_models import describe_model
 from myrtlehook_core.process.engine_queues import receive_held, set_owned_engines
-from myrtlehook_core.process.posts import Post
+from myrtlehook_core.process.outboxes import MessageOutbox
 from standins.engine_models import ENGINE, ROUTER, OwnedEngine, Traits, arrive, flood
 
 EXAMPLES = 20
@@ -205,7 +205,7 @@
         configuration=context.new.configuration,
         reachable=lambda name: True,
         out=Outbox(),
-        post=Post(),
+        post=MessageOutbox(),
     )
     receive_held(context.new.queues, queue_context, ROUTER, message, context.new.now_s)
     context.estimate = estimate
--- a/tests/steps/overload_steps.py
+++ b/tests/steps/overload_steps.py
@@ -156,7 +156,7 @@
 
 @when("{callers:d} callers with {left_s:g} s left are refused at once at {rate:g} a second")
 def refuse_callers(context: Any, callers: int, left_s: float, rate: float) -> None:
-    shedding = Shedding(part=0.5, served=rate)
+    shedding = Shedding(refused_fraction=0.5, served_count=rate)
     draw = random.Random(1).random
     context.waits_s = [book_return(shedding, 0.0, left_s, draw) for _ in range(callers)]
 
--- a/tests/steps/property_steps.py
+++ b/tests/steps/property_steps.py
@@ -22,7 +22,7 @@
 )
 from myrtlehook_core.process import messages
 from myrtlehook_core.process.hashing import rank_routers
-from myrtlehook_core.process.ledgers import Ledger, take_report, total_units
+from myrtlehook_core.process.ledgers import Ledger, compute_total_units, merge_report
 from myrtlehook_core.process.members import Member, MemberTable, take_row
 from myrtlehook_core.process.membership_messages import MemberRow
 from myrtlehook_core.process.messages import (
@@ -62,7 +62,7 @@
 
 def _report(ledger: Ledger, sender: str, row: ReportRow, now_s: float, floor: int = 0) -> int:
     report = Report(True, (FloorRow("p", floor),), (row,))
-    totals = take_report(ledger, sender, report, now_s, OPTIONS, lambda router: True)
+    totals = merge_report(ledger, sender, report, now_s, OPTIONS, lambda router: True)
     return totals[0].total_units
 
 
@@ -88,7 +88,7 @@
         expected = sum(history[-1] for history in rows)
         for ledger in ledgers:
             account = ledger.accounts[KEY]
-            assert total_units(account) - account.lift_units == expected
+            assert compute_total_units(account) - account.lift_units == expected
 
     check()
 
@@ -133,7 +133,7 @@
         draw.shuffle(reports)
         for sender, row in reports * 2:
             _report(ledger, sender, row, 0.5)
-        assert total_units(ledger.accounts[KEY]) == total
+        assert compute_total_units(ledger.accounts[KEY]) == total
 
     check()
 
--- a/tests/steps/regression_steps.py
+++ b/tests/steps/regression_steps.py
@@ -30,11 +30,11 @@
     events,
     messages,
 )
-from myrtlehook_core.process.bidding import keys_to_report, send_reports
-from myrtlehook_core.process.entries import Entry, account_of
+from myrtlehook_core.process.bidding import find_keys_to_report, send_reports
+from myrtlehook_core.process.ingress import IngressState, get_account
 from myrtlehook_core.process.membership_messages import MemberRow, MembersQuery
+from myrtlehook_core.process.outboxes import MessageOutbox
 from myrtlehook_core.process.placements import Placement, find_ledgers
-from myrtlehook_core.process.posts import Post
 from myrtlehook_router.process.core_tasks import CoreTask
 from myrtlehook_router.process.counters import Counters
 from myrtlehook_router.process.mailboxes import Mailbox
@@ -150,15 +150,15 @@
 @when("service changes once, and an unchanged report follows before the other ledger's turn")
 def report_unchanged(context: Any) -> None:
     key = PoolKey("w0", POOL)
-    entry = Entry(10.0)
+    entry = IngressState(10.0)
     context.placement = Placement(eligible=("r1", "r2", "r3"))
     draw = random.Random(1).random
-    account_of(entry, key, draw).changed = True
+    get_account(entry, key, draw).changed = True
     context.heard = set()
     for turn in range(10):
         # Work waits at the first two refreshes only, so that the second reports no change.
-        keys = keys_to_report(entry) | ({key} if turn < 2 else set())
-        post = Post()
+        keys = find_keys_to_report(entry) | ({key} if turn < 2 else set())
+        post = MessageOutbox()
         send_reports(entry, context.placement, CoreOptions(), draw, post, keys, 10.0 + turn)
         context.heard |= {router for router, _ in post.messages}
 
--- a/tests/steps/share_steps.py
+++ b/tests/steps/share_steps.py
@@ -133,7 +133,7 @@
 def shed_one(context: Any, part: float, factor: int) -> None:
     served = _start(3, engines=4)
     short, *others = served.history.alive
-    served.history.shedding[short] = Shedding(part=part)
+    served.history.shedding[short] = Shedding(refused_fraction=part)
     end_s = BEGINS_S + SETTLED_S + SPAN_S
     draw = random.Random(3)
     crowd = Workload("a", factor * CROWD_TOKENS_PER_S, OWN_TOKENS)
--- a/tests/steps/zone_steps.py
+++ b/tests/steps/zone_steps.py
@@ -10,7 +10,7 @@
 from behave import then, when
 
 from myrtlehook_core import CoreOptions, MemberState, PromptPart, actions, events
-from myrtlehook_core.process.accountants import find_level, find_shared_tokens
+from myrtlehook_core.process.accountants import compute_level, compute_shared_tokens
 from myrtlehook_core.process.admission_asking import AdmissionContext, rank_engines
 from myrtlehook_core.process.admission_messages import DemandReport, DemandRow
 from myrtlehook_core.process.hashing import rank_routers
@@ -189,8 +189,8 @@
             missing = abs(told[workspace] - tokens)
             assert missing <= LEVEL_TOLERANCE_PART * tokens, (name, level, asked)
         configured_tokens = limits.tokens_per_s * window_s
-        shared_tokens = find_shared_tokens(account_of(level.rows), configured_tokens)
-        wanted = find_level(list(asked.values()), shared_tokens)
+        shared_tokens = compute_shared_tokens(account_of(level.rows), configured_tokens)
+        wanted = compute_level(list(asked.values()), shared_tokens)
         assert wanted is not None
         wrong = abs(level.level_tokens - wanted)
         assert wrong <= LEVEL_TOLERANCE_PART * wanted, (name, level, wanted)
@@ -312,11 +312,13 @@
 @when("a router that is no collector holds a sum that was sent to it")
 def hold_stale_sum(context: Any) -> None:
     history: History = context.history
-    name = next(name for name, core in history.alive.items() if POOL not in core.shares.collected)
+    name = next(
+        name for name, core in history.alive.items() if POOL not in core.shares.zone_accounts
+    )
     report = DemandReport(POOL, (DemandRow("a", 1_000_000),), to_collector=True)
     history.feed(name, events.MessageReceived("10.0.0.1:7400", 1, report))
     context.router = name
-    assert POOL in history.alive[name].shares.collected
+    assert POOL in history.alive[name].shares.zone_accounts
 
 
 @then("its next report goes out without that sum, which it forgets")
@@ -330,7 +332,7 @@
         found for found in reports if isinstance(found, DemandReport) and not found.to_collector
     ]
     assert not sums, sums
-    assert POOL not in core.shares.collected
+    assert POOL not in core.shares.zone_accounts
 
 
 def hear_announcement(context: Any, rows: tuple[MemberRow, ...]) -> None:
