--- a/packages/core/src/myrtlehook_core/__init__.py
+++ b/packages/core/src/myrtlehook_core/__init__.py
@@ -19,7 +19,6 @@
 )
 from myrtlehook_core.process.engine_loads import EngineFigures
 from myrtlehook_core.process.events import Event
-from myrtlehook_core.process.intakes import Intake, count_in, turn_away
 from myrtlehook_core.process.members import Member, MemberState, MemberTable, RouterIdentity
 from myrtlehook_core.process.messages import (
     EncodedEnvelope,
@@ -40,6 +39,7 @@
 from myrtlehook_core.process.options import CoreOptions
 from myrtlehook_core.process.quarantine import count_held
 from myrtlehook_core.process.routers import RouterCore
+from myrtlehook_core.process.share_standings import ShareStanding, count_arrival, should_shed
 from myrtlehook_core.process.shares import Shares
 from myrtlehook_core.process.shedding import Shedding, book_return, note_lag, sheds
 from myrtlehook_core.process.statuses import RouterStatus, describe_router
@@ -138,7 +138,7 @@
 
 
 __all__ = [
-    "Intake",
+    "ShareStanding",
     "NO_ORDER",
     "SourceOrder",
     "ConfigurationParser",
@@ -213,7 +213,7 @@
     "build_configuration",
     "change_options",
     "choose_lowest",
-    "count_in",
+    "count_arrival",
     "decode_envelope",
     "describe_router",
     "digest_text",
@@ -230,6 +230,6 @@
     "sheds",
     "messages",
     "parse_document",
-    "turn_away",
+    "should_shed",
     "validate_content",
 ]
--- a/packages/core/src/myrtlehook_core/process/admission_ends.py
+++ b/packages/core/src/myrtlehook_core/process/admission_ends.py
@@ -1,17 +1,17 @@
-"""How an admission ends: its request has run, was withdrawn, or is refused."""
+"""Ends of admissions: requests that have run, were abandoned, or are refused."""
 
-from myrtlehook_core.process.admission_asking import (
+from myrtlehook_core.process.admission_messages import AdmissionRelease
+from myrtlehook_core.process.admission_requests import (
     Admission,
     AdmissionContext,
     Admissions,
-    tell_owner,
+    notify_owner,
 )
-from myrtlehook_core.process.admission_messages import AdmissionRelease
 from myrtlehook_core.process.events import RunEnded
 from myrtlehook_core.process.ingress import get_account, make_pool_key, update_queue_counts
-from myrtlehook_core.process.intakes import count_refused
 from myrtlehook_core.process.quarantine import find_hold_s
 from myrtlehook_core.process.refusals import find_retry_wait_s, refuse_with_wait
+from myrtlehook_core.process.share_standings import count_refused_request
 from myrtlehook_core.request.charges import settle_charge
 from myrtlehook_core.request.outcomes import RefusalReason
 
@@ -22,7 +22,7 @@
     event: RunEnded,
     now_s: float,
 ) -> bool:
-    """Settle a request that has ended; False when it is not one of these."""
+    """Settle a request whose run has ended; False when it is not one of these admissions."""
     admission = admissions.open.pop(event.request_id, None)
     if admission is None:
         return False
@@ -30,16 +30,16 @@
     account = get_account(entry, make_pool_key(admission.request), context.entry_context.draw)
     settle_charge(account, event.request_id, event.cost_units)
     account.last_active_s = now_s
-    _forget(context, admission, ran=True, failed=event.failed)
+    _close_admission(context, admission, ran=True, failed=event.failed)
     return True
 
 
 def abandon_admission(admissions: Admissions, context: AdmissionContext, request_id: str) -> bool:
-    """Withdraw a waiting request whose caller has gone; False when it is not one of these."""
+    """Withdraw a request whose client has gone; False when it is not one of these admissions."""
     admission = admissions.open.pop(request_id, None)
     if admission is None:
         return False
-    _forget(context, admission, ran=False)
+    _close_admission(context, admission, ran=False)
     return True
 
 
@@ -50,10 +50,10 @@
     reason: RefusalReason,
     now_s: float,
 ) -> None:
-    """Give a request that no engine runs its final answer, with when to come back."""
+    """Refuse a request for good, with the time after which its client may retry."""
     request = admission.request
     del admissions.open[request.request_id]
-    _forget(context, admission, ran=False)
+    _close_admission(context, admission, ran=False)
     entry_context = context.entry_context
     held_s = find_hold_s(entry_context.quarantine, request.fingerprint, now_s)
     backoff_s = find_retry_wait_s(context.entry, entry_context, request, now_s)
@@ -61,7 +61,7 @@
     refuse_with_wait(context.entry_context, request, reason, wait_s)
 
 
-def _forget(
+def _close_admission(
     context: AdmissionContext, admission: Admission, ran: bool, failed: bool = False
 ) -> None:
     request_id = admission.request.request_id
@@ -69,7 +69,9 @@
     if not admission.granted:
         update_queue_counts(context.entry, admission.request, -1)
     if not ran:
-        count_refused(context.shares, admission.request, admission.tier, admission.noted_at_s)
+        count_refused_request(
+            context.shares, admission.request, admission.tier, admission.counted_at_s
+        )
     if admission.backend_server:
         release = AdmissionRelease(request_id, admission.backend_server, ran, failed)
-        tell_owner(context, admission, release)
+        notify_owner(context, admission, release)
--- a/packages/core/src/myrtlehook_core/process/admission_messages.py
+++ b/packages/core/src/myrtlehook_core/process/admission_messages.py
@@ -11,7 +11,7 @@
 
 
 class AdmissionRequest(msgspec.Struct, frozen=True, array_like=True, tag=17):
-    """Asks an engine's owner to admit one request; asked again until it is answered."""
+    """Asks an engine's owner to admit one request; sent again until it is answered."""
 
     request_id: str
     backend_server: str
@@ -20,36 +20,36 @@
     prompt_tokens: int
     output_tokens: int
     aim_left_ms: int
-    """Times are relative, so that no clocks are compared."""
+    """Time left to the first-token target. Times are relative: router clocks may differ."""
     deadline_left_ms: int
     priority: int
     tier: int
-    """How many times over the workspace has asked for its share; 0 is within it."""
+    """How many times over the workspace has requested its share; 0 is within it."""
     hop: int
-    """How many other engines were asked before."""
+    """The number of engines that refused the request before, without one asked eagerly."""
     fetch_tokens: int = 0
-    """Tokens of the prompt's beginning that the engine can take from another one."""
+    """Tokens of the prompt's beginning that the engine can fetch from another engine."""
     above_share: bool = False
-    """Whether the workspace asks for more than its share, this request included or not."""
+    """Whether the workspace requests more than its share, whatever this request's tier."""
     eager: bool = False
-    """The engine is wanted only if it is soon free: others are asked next."""
+    """Whether the engine is wanted only if it can begin the answer soon; others are asked next."""
     aim_ms: int = 0
-    """All of the aim, of which ``aim_left_ms`` are left."""
+    """The whole first-token target, of which ``aim_left_ms`` are left."""
 
 
 class EngineEstimate(msgspec.Struct, frozen=True, array_like=True):
-    """What an engine's owner has learned of it; told with each grant, for the next owner."""
+    """An owner's estimate of its engine; sent with each grant, for the next owner."""
 
     rate_tokens_per_s: float
     """How fast it reads prompts."""
     delay_ms: float
-    """From a grant to the first event heard, beside the reading."""
+    """From a grant to the answer's first event received, without the reading time."""
     token_ms: float
-    """From one token that it makes for a request to the next."""
+    """Between two output tokens of a request."""
     samples: int
-    """Answers that the estimate rests on."""
+    """The number of answers that the estimate is based on."""
     age_ms: int
-    """Since the last of them."""
+    """Time since the last of them."""
 
 
 class AdmissionGrant(msgspec.Struct, frozen=True, array_like=True, tag=18):
@@ -69,9 +69,10 @@
     backend_server: str
     retry_after_ms: int
     kept_tokens: int = 0
-    """Tokens of the prompt's beginning that the engine keeps, and may hand to another."""
+    """Tokens of the prompt's beginning that the engine caches, and another one may fetch."""
     eager: bool = False
-    """As it was asked: an engine may be asked twice, and answers may overtake questions."""
+    """As in the request that is refused: an engine may be asked twice, eagerly and not, and a
+    refusal of the first request may arrive after the second one was sent."""
 
 
 class AdmissionProgress(msgspec.Struct, frozen=True, array_like=True, tag=20):
@@ -82,13 +83,13 @@
 
 
 class AdmissionRelease(msgspec.Struct, frozen=True, array_like=True, tag=21):
-    """The request waits or runs at the engine no longer."""
+    """The request no longer waits or runs at the engine."""
 
     request_id: str
     backend_server: str
     ran: bool
     failed: bool = False
-    """The engine did not serve it, or broke off."""
+    """The engine did not serve it, or broke its answer off."""
 
 
 class HeldAdmissionRow(msgspec.Struct, frozen=True, array_like=True):
@@ -104,34 +105,34 @@
 
 
 class HeldAdmissions(msgspec.Struct, frozen=True, array_like=True, tag=22):
-    """All that the sender runs at one engine, for an owner that may not know of it."""
+    """All requests that the sender runs at one engine, for an owner that may not know them."""
 
     backend_server: str
     rows: tuple[HeldAdmissionRow, ...]
     recent_parts: tuple[PartRow, ...]
-    """Parts that the sender has seen used there lately, the oldest first."""
+    """Prompt parts that the sender sent to the engine lately, the oldest first."""
     estimate: EngineEstimate | None = None
-    """What the last owner had learned, as the sender heard it."""
+    """The previous owner's estimate, as the sender last received it."""
 
 
 class DemandRow(msgspec.Struct, frozen=True, array_like=True):
-    """What one workspace has asked for."""
+    """The demand of one workspace within the window."""
 
     workspace: str
     asked_tokens: int
     refused_tokens: int = 0
-    """Of those, what no engine took."""
+    """Those of them that no engine admitted."""
     granted_tokens: int = 0
-    """What engines have taken within the window, whenever it was asked."""
+    """What engines have admitted within the window, whenever it was requested."""
 
 
 class DemandReport(msgspec.Struct, frozen=True, array_like=True, tag=23):
-    """All that was asked of a pool at the sender within the window; replaces its last one."""
+    """The whole demand for a pool at the sender within the window; replaces its last report."""
 
     pool: str
     rows: tuple[DemandRow, ...]
     to_collector: bool = False
-    """For the router that adds up what its availability zone reports, and sends it on."""
+    """Whether the receiver adds up the reports of its availability zone and sends the sum on."""
 
 
 class ShareLevel(msgspec.Struct, frozen=True, array_like=True, tag=24):
@@ -140,4 +141,4 @@
     pool: str
     level_tokens: int
     rows: tuple[DemandRow, ...]
-    """The workspaces that ask for more, with all that they ask across the fleet."""
+    """The workspaces that request more, with their whole demand across the fleet."""
--- a/packages/core/src/myrtlehook_core/process/admission_asking.py
+++ b/packages/core/src/myrtlehook_core/process/admission_requests.py
@@ -1,4 +1,4 @@
-"""Requests that ask for an engine: their state, the engines' order, and the asking itself."""
+"""State of requests that need an engine, the ranking of engines, and messages to owners."""
 
 from collections import OrderedDict, defaultdict
 from collections.abc import Callable, Mapping
@@ -18,21 +18,22 @@
 from myrtlehook_core.process.shares import Shares
 from myrtlehook_core.request.requests import PromptPart, RequestSpecification
 
-ASK_INTERVAL_S = 0.1
-"""A request that has no answer is asked for again after this long."""
+FIRST_RESEND_S = 0.1
+"""An admission request without an answer is first sent again after this long."""
 
-ASK_GROWTH = 3.0
-"""The next times this many times later: an owner that has a request says nothing while it waits,
-and the question is many times as long as the answer."""
+RESEND_BACKOFF_FACTOR = 3.0
+"""Factor from one resend interval to the next. An owner sends nothing while a request waits in its
+queue, and an admission request is many times as long as its answer."""
 
-NEAR_SHARED_TOKENS = 1000
-"""Shared parts longer than this are read at one engine of all zones. In the large deployment a
-token read again costs as much as 30 bytes between zones; an answer has 2 to 9 KB."""
+MAX_ZONE_LOCAL_SHARED_TOKENS = 1000
+"""Longer shared parts have one home engine among all zones, shorter ones may have one in each. In
+the large deployment, reading a token again costs as much as sending 30 bytes between zones, and an
+answer has 2 to 9 KB."""
 
 
 @dataclass(frozen=True, slots=True)
 class MemorySource:
-    """An engine that keeps the beginning of a prompt, and may hand it to another one."""
+    """An engine that caches the beginning of a prompt, from which another one may fetch it."""
 
     backend_server: str
     tokens: int
@@ -43,11 +44,11 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineRanking:
-    """The engines that a request may ask, in order."""
+    """The engines that a request may be sent to, in order of preference."""
 
     names: tuple[str, ...]
     near_first: bool
-    """The first one is only the home in the own zone; the home of all follows."""
+    """Whether the first engine is the home in this router's zone, put before the home among all."""
 
 
 @dataclass(slots=True)
@@ -55,95 +56,98 @@
     """A request that waits for an engine, or runs at one."""
 
     request: RequestSpecification
-    noted_at_s: float = 0.0
-    """When it was counted as asked for."""
+    counted_at_s: float = 0.0
+    """When it was counted as demand of its workspace."""
     tier: int = 0
-    """How many times over its workspace has asked for its share."""
+    """How many times over its workspace has requested its share; 0 is within it."""
     above_share: bool = False
-    """Whether its workspace asks for more than its share."""
+    """Whether its workspace requests more than its share."""
     backend_server: str = ""
     asked_at_s: float = 0.0
-    next_ask_s: float = 0.0
-    ask_gap_s: float = ASK_INTERVAL_S
-    """From the next question to the one after."""
+    next_send_s: float = 0.0
+    resend_interval_s: float = FIRST_RESEND_S
+    """Between the next resend and the one after it."""
     hop: int = 0
+    """The number of engines that have refused it since its last run, if any, without one that was
+    asked eagerly."""
     tried: set[str] = field(default_factory=set)
     retry_after_s: float = 0.0
     eager: bool = False
-    """Whether an engine was asked last only if it is soon free."""
+    """Whether the current engine is wanted only if it can begin the answer soon."""
     granted: bool = False
     begun: bool = False
     unread_tokens: int = 0
-    ranking: tuple[str, ...] = ()
-    """The pool's engines in the order in which they are asked, as of the first question."""
+    ranked_engines: tuple[str, ...] = ()
+    """The pool's engines in the order in which they are asked, as of the last ranking."""
     source: MemorySource = NO_SOURCE
-    """Of the engines that have refused the request, the one that keeps the most of it."""
-    asked_source: MemorySource = NO_SOURCE
-    """What the owner that was asked last was told of."""
+    """Of the engines that have refused the request, the one that caches most of its prompt."""
+    offered_source: MemorySource = NO_SOURCE
+    """The source that the last admission request offered to the engine's owner."""
 
 
 @dataclass(frozen=True, slots=True)
-class HeardEstimate:
-    """What an engine's owner told of it, and when that was heard."""
+class ReceivedEstimate:
+    """An owner's estimate of its engine, and when it was received."""
 
     estimate: EngineEstimate
-    heard_at_s: float
+    received_at_s: float
 
 
 @dataclass(slots=True)
 class Admissions:
-    """All requests for model engines at this router."""
+    """All requests for model engines at this router, and what it has learned of engines."""
 
     open: dict[str, Admission] = field(default_factory=dict)
     recent_parts: dict[str, OrderedDict[str, int]] = field(default_factory=dict)
-    """For each engine, the parts of prompts that this router has sent there."""
-    estimates: dict[str, HeardEstimate] = field(default_factory=dict)
-    """For each engine that granted something here, what its owner had learned of it."""
+    """For each engine, the prompt parts that this router sent there lately, and their tokens."""
+    estimates: dict[str, ReceivedEstimate] = field(default_factory=dict)
+    """For each engine that granted a request of this router, its owner's last estimate."""
     full_tiers: defaultdict[str, FullTiers] = field(default_factory=lambda: defaultdict(FullTiers))
     """By pool."""
 
 
 @dataclass(slots=True)
 class AdmissionContext:
-    """What the functions here need besides their own state."""
+    """What the admission functions use besides the state of the admissions."""
 
     entry: IngressState
     entry_context: IngressContext
     shares: Shares
-    owner_of: Callable[[str], str | None]
+    find_owner: Callable[[str], str | None]
     now_s: float
     availability_zone: str = ""
-    """Of this router."""
+    """The zone of this router."""
 
 
 def rank_engines(context: AdmissionContext, request: RequestSpecification) -> EngineRanking:
-    """Order the pool's usable engines, the one that likely keeps the prompt's parts first.
+    """Rank the pool's usable engines, beginning with the likely cache of the prompt's parts.
 
-    A prompt whose shared parts are short has a home in each zone that has engines enough,
-    and that one is asked before the home of all: its parts are then read once in each zone,
-    and the answer, which is many times as many bytes as the parts have tokens, crosses none.
+    Rendezvous hashing of the shared part gives each prompt a home engine among all zones.
+    A prompt with short shared parts also has a home in each zone with enough engines, which
+    is asked first: its parts are then read once in each zone, but its answer, which has many
+    times more bytes than the parts have tokens, does not cross zones.
     """
     servers = [
         server
         for server in context.entry_context.configuration.backend_servers.values()
         if server.pool == request.pool and is_usable_engine(context, server.name)
     ]
-    key = f"engine/{affinity_key(request)}"
+    key = f"engine/{find_affinity_key(request)}"
     ranked = rank_routers(key, [server.name for server in servers], len(servers))
     near = {
         server.name for server in servers if server.availability_zone == context.availability_zone
     }
     shared_tokens = sum(part.tokens for part in request.prompt_parts[:-1])
     fewest = context.entry_context.options.fewest_near_engines
-    if shared_tokens > NEAR_SHARED_TOKENS or len(near) < fewest:
+    if shared_tokens > MAX_ZONE_LOCAL_SHARED_TOKENS or len(near) < fewest:
         return EngineRanking(ranked, near_first=False)
     home = next(name for name in ranked if name in near)
     others = tuple(name for name in ranked if name != home)
     return EngineRanking((home, *others), near_first=True)
 
 
-def affinity_key(request: RequestSpecification) -> str:
-    """Return what requests share that are best served by the same engine."""
+def find_affinity_key(request: RequestSpecification) -> str:
+    """Return the key by which requests with the same shared part get the same home engine."""
     parts = request.prompt_parts
     if len(parts) >= 2:
         return parts[-2].part_id
@@ -151,20 +155,20 @@
 
 
 def is_usable_engine(context: AdmissionContext, name: str) -> bool:
-    """Tell whether an engine is known, not leaving, and takes requests of this router."""
+    """Return whether an engine is known, not leaving, and not in back-off at this router."""
     server = context.entry_context.configuration.backend_servers.get(name)
     if server is None or server.leaving:
         return False
     return not is_backing_off(context.entry.backoffs, name, context.now_s)
 
 
-def find_source(
+def find_memory_source(
     admissions: Admissions, context: AdmissionContext, admission: Admission
 ) -> MemorySource:
-    """Return the engine that keeps the most of a prompt, besides the one that is asked.
+    """Return the engine that caches most of a prompt, unless it is the one being asked.
 
-    Owners that refused the request have told what their engines keep; of others this
-    router knows what it has sent there lately.
+    Owners that refused the request have reported what their engines cache; for the others
+    it is estimated from what this router has sent there lately.
     """
     if not context.entry_context.options.fetches_memory:
         return NO_SOURCE
@@ -173,20 +177,20 @@
     if is_usable_engine(context, admission.source.backend_server):
         best = admission.source
     for name, recent in admissions.recent_parts.items():
-        tokens = count_sent(recent, request.prompt_parts)
-        if tokens > best.tokens and _may_hand_over(context, name, request.pool):
+        tokens = count_sent_tokens(recent, request.prompt_parts)
+        if tokens > best.tokens and _may_transfer_prompt(context, name, request.pool):
             best = MemorySource(name, tokens)
     return NO_SOURCE if best.backend_server == admission.backend_server else best
 
 
-def _may_hand_over(context: AdmissionContext, name: str, pool: str) -> bool:
-    """Tell whether an engine is usable and of a pool: another pool's runs another model."""
+def _may_transfer_prompt(context: AdmissionContext, name: str, pool: str) -> bool:
+    """Return whether an engine is usable and of the pool: other pools run other models."""
     server = context.entry_context.configuration.backend_servers.get(name)
     return server is not None and server.pool == pool and is_usable_engine(context, name)
 
 
-def count_sent(recent: Mapping[str, int], parts: tuple[PromptPart, ...]) -> int:
-    """Return how many tokens of a prompt's beginning were sent somewhere lately."""
+def count_sent_tokens(recent: Mapping[str, int], parts: tuple[PromptPart, ...]) -> int:
+    """Return how many tokens of a prompt's beginning are among the parts sent to an engine."""
     tokens = 0
     for part in parts:
         if part.part_id not in recent:
@@ -195,15 +199,15 @@
     return tokens
 
 
-def ask_owner(
+def send_admission_request(
     admissions: Admissions, context: AdmissionContext, admission: Admission, now_s: float
 ) -> None:
-    """Ask an engine's owner to admit a request, or ask again."""
+    """Send or resend an admission request to the engine's owner."""
     request = admission.request
-    admission.asked_source = find_source(admissions, context, admission)
-    admission.next_ask_s = now_s + admission.ask_gap_s
-    admission.ask_gap_s *= ASK_GROWTH
-    owner = context.owner_of(admission.backend_server)
+    admission.offered_source = find_memory_source(admissions, context, admission)
+    admission.next_send_s = now_s + admission.resend_interval_s
+    admission.resend_interval_s *= RESEND_BACKOFF_FACTOR
+    owner = context.find_owner(admission.backend_server)
     if owner is None:
         return
     message = AdmissionRequest(
@@ -218,7 +222,7 @@
         priority=request.priority,
         tier=admission.tier,
         hop=admission.hop,
-        fetch_tokens=admission.asked_source.tokens,
+        fetch_tokens=admission.offered_source.tokens,
         above_share=admission.above_share,
         eager=admission.eager,
         aim_ms=round((request.aim_deadline_s - request.arrived_at_s) * 1000.0),
@@ -226,12 +230,12 @@
     context.entry_context.outbox.add(owner, message)
 
 
-def tell_owner(
+def notify_owner(
     context: AdmissionContext,
     admission: Admission,
     message: AdmissionProgress | AdmissionRelease,
 ) -> None:
-    """Tell an engine's owner what became of a request."""
-    owner = context.owner_of(admission.backend_server)
+    """Report a request's progress or release to its engine's owner."""
+    owner = context.find_owner(admission.backend_server)
     if owner is not None:
         context.entry_context.outbox.add(owner, message)
--- a/packages/core/src/myrtlehook_core/process/admissions.py
+++ b/packages/core/src/myrtlehook_core/process/admissions.py
@@ -1,32 +1,36 @@
-"""The entry's side of admission: which engine a request asks for, and what comes of it.
+"""Admission at the ingress router: offers requests to engines and handles the decisions.
 
-Each request asks the owner of one engine at a time, beginning with the engine that its
-prompt's shared part hashes to. An owner that does not answer is asked again, until another
-one takes over from it.
+A request is sent to the owner of one engine at a time, beginning with the engine that the
+shared part of its prompt hashes to. It is sent again while there is no answer; when another
+router becomes the engine's owner, it is sent there.
 """
 
 from myrtlehook_core.process.actions import Dispatch, DropNoted, RetryNoted
-from myrtlehook_core.process.admission_asking import (
-    ASK_INTERVAL_S,
-    Admission,
-    AdmissionContext,
-    Admissions,
-    MemorySource,
-    ask_owner,
-    is_usable_engine,
-    rank_engines,
-    tell_owner,
-)
 from myrtlehook_core.process.admission_ends import refuse_admission
-from myrtlehook_core.process.admission_handover import hear_estimate, remember_parts
+from myrtlehook_core.process.admission_handover import record_estimate, record_sent_parts
 from myrtlehook_core.process.admission_messages import (
     AdmissionGrant,
     AdmissionProgress,
     AdmissionRefusal,
     AdmissionRelease,
 )
+from myrtlehook_core.process.admission_requests import (
+    FIRST_RESEND_S,
+    Admission,
+    AdmissionContext,
+    Admissions,
+    MemorySource,
+    is_usable_engine,
+    notify_owner,
+    rank_engines,
+    send_admission_request,
+)
 from myrtlehook_core.process.backoffs import find_pool_backoff_s
-from myrtlehook_core.process.full_tiers import is_full, note_taken, note_untaken
+from myrtlehook_core.process.full_tiers import (
+    record_tier_admitted,
+    record_tier_refused,
+    should_refuse_untried,
+)
 from myrtlehook_core.process.ingress import (
     IngressContext,
     compute_virtual_service_units,
@@ -34,7 +38,6 @@
     make_pool_key,
     update_queue_counts,
 )
-from myrtlehook_core.process.intakes import Intake, count_granted, count_refused
 from myrtlehook_core.process.refusals import (
     choose_last_refusal,
     find_refusal,
@@ -42,6 +45,11 @@
     refuse_with_wait,
 )
 from myrtlehook_core.process.runs import BLAMELESS_RETRY_REASONS, claim_retry
+from myrtlehook_core.process.share_standings import (
+    ShareStanding,
+    count_granted_request,
+    count_refused_request,
+)
 from myrtlehook_core.request.charges import (
     cancel_charge,
     charge_known,
@@ -52,7 +60,7 @@
 
 
 def is_admitted_by_tokens(context: IngressContext, request: RequestSpecification) -> bool:
-    """Tell whether a request goes to a model engine that is loaded by tokens."""
+    """Return whether a request's pool has model engines, whose load is counted in tokens."""
     pool = context.configuration.pools.get(request.pool)
     return pool is not None and pool.engine is not None
 
@@ -61,79 +69,83 @@
     admissions: Admissions,
     context: AdmissionContext,
     request: RequestSpecification,
-    intake: Intake,
+    standing: ShareStanding,
     now_s: float,
 ) -> None:
-    """Ask for an engine for a new request, or refuse it."""
+    """Start the admission of a new request at its first engine, or refuse the request."""
     entry = context.entry
     reason = find_refusal(entry, context.entry_context, make_pool_key(request), request, now_s)
     if reason is not None:
-        count_refused(context.shares, request, intake.tier, now_s)
+        count_refused_request(context.shares, request, standing.tier, now_s)
         refuse_request(entry, context.entry_context, request, reason, now_s)
         return
     options = context.entry_context.options
     full = admissions.full_tiers[request.pool]
-    tier = intake.tier
-    if options.refuses_full_tiers and options.keeps_shares and is_full(full, tier, now_s):
-        count_refused(context.shares, request, tier, now_s)
+    tier = standing.tier
+    if (
+        options.refuses_full_tiers
+        and options.keeps_shares
+        and should_refuse_untried(full, tier, now_s)
+    ):
+        count_refused_request(context.shares, request, tier, now_s)
         refuse_with_wait(
             context.entry_context, request, RefusalReason.SHARE_EXCEEDED, full.retry_after_s
         )
         return
     entry.attempts[request.request_id] = 0
     update_queue_counts(entry, request, 1)
-    admission = Admission(request, noted_at_s=now_s)
+    admission = Admission(request, counted_at_s=now_s)
     if options.keeps_shares:
         admission.tier = tier
-        admission.above_share = intake.above_share and options.small_workspaces_first
+        admission.above_share = standing.above_share and options.small_workspaces_first
     ranking = rank_engines(context, request)
-    admission.ranking = ranking.names
+    admission.ranked_engines = ranking.names
     admission.eager = ranking.near_first
     admissions.open[request.request_id] = admission
-    ask_next(admissions, context, admission, now_s)
+    ask_next_engine(admissions, context, admission, now_s)
 
 
-def ask_next(
+def ask_next_engine(
     admissions: Admissions, context: AdmissionContext, admission: Admission, now_s: float
 ) -> None:
-    """Ask for the next engine in the request's order, or refuse the request."""
+    """Send a request to the next engine in its ranking, or refuse it when none is left."""
     options = context.entry_context.options
-    candidates = [name for name in admission.ranking if is_usable_engine(context, name)]
-    left = [name for name in candidates if name not in admission.tried]
-    if not left:
-        # Engines that have joined since the first question.
-        admission.ranking = rank_engines(context, admission.request).names
-        candidates = list(admission.ranking)
-        left = [name for name in candidates if name not in admission.tried]
+    candidates = [name for name in admission.ranked_engines if is_usable_engine(context, name)]
+    untried = [name for name in candidates if name not in admission.tried]
+    if not untried:
+        # Rank again to find engines that have joined since the request was opened.
+        admission.ranked_engines = rank_engines(context, admission.request).names
+        candidates = list(admission.ranked_engines)
+        untried = [name for name in candidates if name not in admission.tried]
     if admission.request.deadline_s <= now_s:
         refuse_admission(admissions, context, admission, RefusalReason.DEADLINE_PASSED, now_s)
         return
     if not candidates:
         _wait_or_refuse(admissions, context, admission, now_s)
         return
-    most = options.excess_engines_asked if admission.tier else options.engines_asked
-    if not left or admission.hop >= most:
+    max_engines = options.excess_engines_asked if admission.tier else options.engines_asked
+    if not untried or admission.hop >= max_engines:
         full = admissions.full_tiers[admission.request.pool]
-        note_untaken(full, admission.tier, admission.retry_after_s, now_s)
+        record_tier_refused(full, admission.tier, admission.retry_after_s, now_s)
         refuse_admission(admissions, context, admission, RefusalReason.DEADLINE_UNREACHABLE, now_s)
         return
-    admission.backend_server = left[0]
-    admission.tried.add(left[0])
+    admission.backend_server = untried[0]
+    admission.tried.add(untried[0])
     admission.asked_at_s = now_s
-    admission.ask_gap_s = ASK_INTERVAL_S
-    ask_owner(admissions, context, admission, now_s)
+    admission.resend_interval_s = FIRST_RESEND_S
+    send_admission_request(admissions, context, admission, now_s)
 
 
-def take_grant(
+def handle_grant(
     admissions: Admissions,
     context: AdmissionContext,
     sender: str,
     grant: AdmissionGrant,
     now_s: float,
 ) -> None:
-    """Send a request to its engine, or give a grant back that nothing waits for."""
+    """Dispatch a granted request, or release a grant that the request no longer needs."""
     if grant.estimate is not None:
-        hear_estimate(admissions, grant.backend_server, grant.estimate, now_s)
+        record_estimate(admissions, grant.backend_server, grant.estimate, now_s)
     admission = admissions.open.get(grant.request_id)
     if admission is None or admission.backend_server != grant.backend_server:
         release = AdmissionRelease(grant.request_id, grant.backend_server, ran=False)
@@ -144,18 +156,18 @@
     if admission.request.deadline_s <= now_s:
         refuse_admission(admissions, context, admission, RefusalReason.DEADLINE_PASSED, now_s)
     elif not is_usable_engine(context, grant.backend_server):
-        # The last look before it is sent: what the engine has told this router since it was
-        # asked, its owner may not have heard.
+        # Check the engine once more before dispatch: it may have reported a back-off to this
+        # router that its owner has not received.
         context.entry_context.actions.add(DropNoted(DropReason.GRANT_CLOSED))
-        _leave_engine(admissions, context, admission, now_s)
+        _withdraw_and_ask_next(admissions, context, admission, now_s)
     else:
         _dispatch(admissions, context, admission, grant.unread_tokens, now_s)
 
 
-def take_refusal(
+def handle_refusal(
     admissions: Admissions, context: AdmissionContext, refusal: AdmissionRefusal, now_s: float
 ) -> None:
-    """Ask for the next engine."""
+    """Record what an engine's owner reported with its refusal, and ask the next engine."""
     admission = admissions.open.get(refusal.request_id)
     if admission is None or admission.granted:
         return
@@ -167,17 +179,20 @@
     if refusal.kept_tokens > admission.source.tokens:
         admission.source = MemorySource(refusal.backend_server, refusal.kept_tokens)
     if admission.eager:
-        # The prompt's home of all zones is asked as if it were the first.
+        # The prompt's home among all zones follows and counts as the first engine asked.
         admission.eager = False
     else:
         admission.hop += 1
-    ask_next(admissions, context, admission, now_s)
+    ask_next_engine(admissions, context, admission, now_s)
 
 
-def note_progress(
+def record_progress(
     admissions: Admissions, context: AdmissionContext, request_id: str, observed_units: float
 ) -> bool:
-    """Tell the owner when an answer begins; False when the request is not one of these."""
+    """Record an answer's progress, and notify the engine's owner when the answer begins.
+
+    Returns False when the request is not one of these admissions.
+    """
     admission = admissions.open.get(request_id)
     if admission is None or not admission.granted:
         return admission is not None
@@ -187,7 +202,7 @@
     grow_charge(account, request_id, observed_units)
     if not admission.begun:
         admission.begun = True
-        tell_owner(context, admission, AdmissionProgress(request_id, admission.backend_server))
+        notify_owner(context, admission, AdmissionProgress(request_id, admission.backend_server))
     return True
 
 
@@ -198,7 +213,10 @@
     reason: RetryReason,
     now_s: float,
 ) -> bool:
-    """Ask for another engine after one that did not serve; False when it is none of these."""
+    """Ask for an engine again after one did not serve the request, or refuse the request.
+
+    Returns False when the request is not one of these admissions.
+    """
     admission = admissions.open.get(request_id)
     if admission is None:
         return False
@@ -209,7 +227,7 @@
     cancel_charge(account, request_id)
     failed = reason not in BLAMELESS_RETRY_REASONS
     release = AdmissionRelease(request_id, admission.backend_server, False, failed)
-    tell_owner(context, admission, release)
+    notify_owner(context, admission, release)
     admission.granted = False
     admission.begun = False
     admission.eager = False
@@ -217,7 +235,7 @@
     update_queue_counts(entry, admission.request, 1)
     if claim_retry(entry, context.entry_context, admission.request, reason, now_s):
         context.entry_context.actions.add(RetryNoted(request_id, reason))
-        ask_next(admissions, context, admission, now_s)
+        ask_next_engine(admissions, context, admission, now_s)
         return True
     refusal = choose_last_refusal(context.entry_context, admission.request, now_s)
     refuse_admission(admissions, context, admission, refusal, now_s)
@@ -225,7 +243,7 @@
 
 
 def tick_admissions(admissions: Admissions, context: AdmissionContext, now_s: float) -> None:
-    """Ask again where no answer came, decide alone where an owner is silent."""
+    """Refuse expired requests, replace unusable engines, and resend unanswered requests."""
     for admission in list(admissions.open.values()):
         if admission.granted:
             continue
@@ -235,27 +253,31 @@
             reason = RefusalReason.CONFIGURATION_REMOVED
             refuse_admission(admissions, context, admission, reason, now_s)
         elif not is_usable_engine(context, admission.backend_server):
-            _leave_engine(admissions, context, admission, now_s)
-        elif now_s >= admission.next_ask_s:
-            ask_owner(admissions, context, admission, now_s)
+            _withdraw_and_ask_next(admissions, context, admission, now_s)
+        elif now_s >= admission.next_send_s:
+            send_admission_request(admissions, context, admission, now_s)
 
 
-def _leave_engine(
+def _withdraw_and_ask_next(
     admissions: Admissions, context: AdmissionContext, admission: Admission, now_s: float
 ) -> None:
-    """Withdraw a request from an engine that is not to be used, and ask for the next one."""
+    """Withdraw a request from an engine that is no longer usable, and ask the next one."""
     if admission.backend_server:
         release = AdmissionRelease(
             admission.request.request_id, admission.backend_server, ran=False
         )
-        tell_owner(context, admission, release)
-    ask_next(admissions, context, admission, now_s)
+        notify_owner(context, admission, release)
+    ask_next_engine(admissions, context, admission, now_s)
 
 
 def _wait_or_refuse(
     admissions: Admissions, context: AdmissionContext, admission: Admission, now_s: float
 ) -> None:
-    """Hold a request that no engine takes, if one will in time for its aim; else refuse it."""
+    """Handle a request while no engine of its pool is usable.
+
+    It waits if a back-off ends before its first-token target and deadline, and is refused
+    otherwise.
+    """
     request = admission.request
     entry_context = context.entry_context
     backoffs = context.entry.backoffs
@@ -266,7 +288,7 @@
     elif now_s + wait_s >= min(request.aim_deadline_s, request.deadline_s):
         refuse_admission(admissions, context, admission, RefusalReason.BACKED_OFF, now_s)
     else:
-        # The next ticks look again; an engine that turned it away may be asked once more.
+        # Later ticks try again, also with engines that were asked before.
         admission.backend_server = ""
         admission.tried.clear()
 
@@ -282,7 +304,7 @@
     entry = context.entry
     options = context.entry_context.options
     admission.granted = True
-    note_taken(admissions.full_tiers[request.pool], admission.tier, now_s)
+    record_tier_admitted(admissions.full_tiers[request.pool], admission.tier, now_s)
     admission.unread_tokens = unread_tokens
     update_queue_counts(entry, request, -1)
     account = get_account(entry, make_pool_key(request), context.entry_context.draw)
@@ -293,9 +315,9 @@
     attempt = entry.attempts.get(request.request_id, 0) + 1
     entry.attempts[request.request_id] = attempt
     if attempt == 1:
-        count_granted(context.shares, request, now_s)
+        count_granted_request(context.shares, request, now_s)
     entry.retry_budget = min(entry.retry_budget + options.retry_ratio, options.retry_burst)
-    remember_parts(admissions, admission)
+    record_sent_parts(admissions, admission)
     context.entry_context.actions.add(
         Dispatch(
             request.request_id,
@@ -303,17 +325,18 @@
             attempt,
             priority_units,
             now_s + options.grant_lease_s,
-            _used_source(context, admission),
+            _choose_prompt_source(context, admission),
         )
     )
 
 
-def _used_source(context: AdmissionContext, admission: Admission) -> str:
-    """Return the engine that hands the beginning of the prompt over; empty if none does.
+def _choose_prompt_source(context: AdmissionContext, admission: Admission) -> str:
+    """Return the engine that the cached beginning of the prompt is fetched from, or "".
 
-    There is none when the engine keeps more itself: its owner expects it to read less.
+    Nothing is fetched when the granted engine caches more of the prompt itself, which shows
+    in that its owner expects fewer unread tokens than the fetch would leave.
     """
-    source = admission.asked_source
+    source = admission.offered_source
     if not source.tokens or not is_usable_engine(context, source.backend_server):
         return ""
     left_tokens = max(admission.request.prompt_tokens - source.tokens, 1)
--- a/packages/core/src/myrtlehook_core/process/engine_forecasts.py
+++ b/packages/core/src/myrtlehook_core/process/engine_forecasts.py
@@ -1,18 +1,18 @@
-"""In which order an engine's owner serves what waits, and when each answer would begin."""
+"""The order in which an engine's owner serves waiting requests, and when answers will begin."""
 
 import heapq
 from dataclasses import dataclass
 
-from myrtlehook_core.process.cold_engines import find_opening
+from myrtlehook_core.process.cold_engines import find_next_grant_s
 from myrtlehook_core.process.engine_loads import (
     EngineLoad,
     WaitingAdmission,
-    estimate_unread,
-    find_read_end,
+    estimate_read_end_s,
+    estimate_unread_tokens,
 )
 
-PATIENT_PART = 0.25
-"""Requests that can only be late give way to others for this part of their time."""
+LATE_YIELD_FRACTION = 0.25
+"""Unavoidably late requests come after others for this fraction of the time to their deadline."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,22 +24,22 @@
 
 
 def forecast_waiting(load: EngineLoad, slots: int, now_s: float) -> list[Forecast]:
-    """Estimate when the answers to all waiting requests begin, in their order.
+    """Estimate when the answers to all waiting requests begin, in the order of service.
 
-    :param slots: how many requests the engine runs at once.
+    :param slots: the number of requests that the engine runs at once.
     """
     model = load.model
-    read_end_s = find_read_end(load, now_s)
-    opening_s = find_opening(load.pace, now_s)
-    ends_s = _expect_ends(load, read_end_s, now_s)
+    read_end_s = estimate_read_end_s(load, now_s)
+    opening_s = find_next_grant_s(load.pace, now_s)
+    ends_s = _forecast_ends(load, read_end_s, now_s)
     found = []
     for waiting in order_waiting(load, now_s):
         start_s = max(read_end_s, opening_s)
         if len(ends_s) >= slots > 0:
             start_s = max(start_s, heapq.heappop(ends_s))
-        if start_s < load.pace.until_s:
-            opening_s = start_s + load.pace.gap_s
-        read_end_s = start_s + estimate_unread(load, waiting) / model.rate_tokens_per_s
+        if start_s < load.pace.cold_until_s:
+            opening_s = start_s + load.pace.grant_interval_s
+        read_end_s = start_s + estimate_unread_tokens(load, waiting) / model.rate_tokens_per_s
         begin_s = read_end_s + model.delay_s
         heapq.heappush(ends_s, begin_s + waiting.output_tokens * model.token_s)
         found.append(Forecast(waiting, begin_s))
@@ -47,39 +47,41 @@
 
 
 def order_waiting(load: EngineLoad, now_s: float) -> list[WaitingAdmission]:
-    """Return the waiting requests, the next one first.
+    """Return the waiting requests in the order of service.
 
-    What exceeds its workspace's share comes later, the more the later; within the shares,
-    workspaces that ask for less than theirs come first, since they cannot crowd anyone out.
-    Requests that can only be late come after those that can be in time, until a part of
-    their time is over.
+    Requests that exceed their workspace's share come later, the more they exceed it; within
+    the shares, workspaces that request less than theirs come first, since they cannot crowd
+    others out. Unavoidably late requests come after those that can be in time, until a
+    fraction of their time has passed.
     """
 
     def rank(item: WaitingAdmission) -> tuple[tuple[int, bool], int, bool, bool, float]:
-        patient_s = PATIENT_PART * (item.deadline_s - item.asked_at_s)
-        patient = item.late_anyway and now_s < item.asked_at_s + patient_s
-        return (item.rank, item.priority, patient, not item.returned, item.latest_start_s)
+        yield_s = LATE_YIELD_FRACTION * (item.deadline_s - item.asked_at_s)
+        yields = item.unavoidably_late and now_s < item.asked_at_s + yield_s
+        return (item.rank, item.priority, yields, not item.returned, item.latest_start_s)
 
     return sorted(load.waiting.values(), key=rank)
 
 
-def plan_start(
+def set_start_limit(
     load: EngineLoad, waiting: WaitingAdmission, aim_slack_part: float, now_s: float
 ) -> None:
-    """Work out when a new request's prompt must be read for its answer to be in time.
+    """Set the latest time to start reading a new request's prompt, and whether it can be in time.
 
-    :param aim_slack_part: within which part of its aim an answer is expected to begin.
+    :param aim_slack_part: the fraction of the first-token target that forecasts may use.
     """
     model = load.model
-    alone_s = estimate_unread(load, waiting) / model.rate_tokens_per_s + model.delay_s
+    time_to_begin_s = (
+        estimate_unread_tokens(load, waiting) / model.rate_tokens_per_s + model.delay_s
+    )
     aim_s = waiting.aim_deadline_s - now_s
-    waiting.latest_start_s = waiting.aim_deadline_s - alone_s
-    waiting.oversized = alone_s > aim_slack_part * aim_s
-    waiting.late_anyway = alone_s > aim_s
+    waiting.latest_start_s = waiting.aim_deadline_s - time_to_begin_s
+    waiting.oversized = time_to_begin_s > aim_slack_part * aim_s
+    waiting.unavoidably_late = time_to_begin_s > aim_s
 
 
-def _expect_ends(load: EngineLoad, read_end_s: float, now_s: float) -> list[float]:
-    """Return when the granted requests are expected to end, as a heap."""
+def _forecast_ends(load: EngineLoad, read_end_s: float, now_s: float) -> list[float]:
+    """Return a heap of the times at which the granted requests are expected to end."""
     model = load.model
     ends_s = []
     for item in load.granted.values():
--- a/packages/core/src/myrtlehook_core/process/engine_models.py
+++ b/packages/core/src/myrtlehook_core/process/engine_models.py
@@ -1,14 +1,14 @@
-"""What the answers of one engine have shown of it: how fast it reads, how late it begins.
+"""Estimation of one engine's reading rate and delay from the times at which answers begin.
 
 An engine reads prompts one after the other, in the order in which they reach it, and the
-first event of an answer is heard some time after its prompt was read. A prompt that was
-granted to an engine with nothing to read begins its answer at ``granted + delay``, one that
-stood in line at the answer before it, each ``tokens / rate`` later:
+first event of an answer is received some time after its prompt was read. The reading of a
+prompt counts from ``granted + delay`` if the engine had nothing to read, and otherwise from
+the begin of the previous answer. The answer begins ``tokens / rate`` later:
 
-    begun = max(granted + delay, begun of the answer before) + tokens / rate
+    begun = max(granted + delay, begun of the previous answer) + tokens / rate
 
-The model keeps the last answers and looks for the delay that explains them best; the rate
-follows from it. See docs/design/engine-model.md for the ways that were weighed.
+The model keeps the last answers and searches for the delay that fits them best; the rate
+follows from the delay. See docs/design/engine-model.md for the alternatives considered.
 """
 
 import math
@@ -20,111 +20,111 @@
 PRIOR_RATE_TOKENS_PER_S = 30_000.0
 PRIOR_DELAY_S = 0.04
 PRIOR_TOKEN_S = 0.01
-"""Believed of an engine before its first answer, where no other engine of its pool is
-known; a few answers replace them, whatever they are. The delay is a long one: one that is
-believed too short keeps an engine waiting and hardly shows, one too long shows at once."""
+"""Estimates for an engine before its first answer, if no other engine of its pool is known; a
+few answers replace them, whatever they are. The delay is a long one: an estimate that is too short
+leaves the engine idle and hardly shows in the answers, one that is too long shows at once."""
 
 PRIOR_TOKENS = 1_000
-"""The prior weighs as much as one answer to a prompt of this length."""
+"""The prior has the weight of one answer to a prompt of this length."""
 
-KEPT_SAMPLES = 24
-KEPT_PART = 0.93
-"""An older answer weighs so much less with each new one: some 14 count, which is half a
-second to a second of a busy engine, and enough to even out its steps."""
+MAX_SAMPLES = 24
+SAMPLE_DECAY = 0.93
+"""Each new answer multiplies the weight of the older ones by this. About 14 answers count in all:
+half a second to a second of a busy engine, enough to average over its steps."""
 
 DELAY_FACTORS = (0.8, 1.25)
 DELAY_STEP_S = 0.01
-"""Each answer lets the delay move by one of these factors, or by this much."""
+"""With each answer, the delay may change by one of these factors, or by this step."""
 
-GAIN_PART = 0.98
-"""Another delay is believed only if the answers fit it better than this part: while the
-engine always has something to read they cannot tell."""
+MAX_MISFIT_RATIO = 0.98
+"""Another delay is adopted only if its misfit is below this fraction of the present one's: answers
+of an engine that always has something to read do not show the delay."""
 
-SHORTEST_READING_S = 1e-6
-"""Keeps a misfit finite where a delay would leave no time to read."""
+MIN_READING_S = 1e-6
+"""Keeps the misfit finite for a delay that leaves no time to read."""
 
-LONGEST_FACTOR = 2.0
-LONGEST_EXTRA_S = 0.02
-"""A time beyond so many times the expected one, and so much more, is cut there: a lost
-message or a pause is no slow engine, and one that is slow shows so again and again."""
+OUTLIER_FACTOR = 2.0
+OUTLIER_EXTRA_S = 0.02
+"""A reading time is limited to this multiple of the expected one, plus the extra: a lost message or
+a pause does not mean that the engine is slow, and a slow one shows it repeatedly."""
 
-LARGEST_RISE = 1.5
-LARGEST_FALL = 2.0
-"""One answer changes the rate by no more than these factors: what was granted to an engine
-that only looked fast for a moment cannot be taken back."""
+MAX_RATE_RISE_FACTOR = 1.5
+MAX_RATE_FALL_FACTOR = 2.0
+"""One answer changes the rate by at most these factors: grants to an engine that looked fast only
+for a moment cannot be withdrawn."""
 
-SURPRISE_FACTOR = 1.5
-SURPRISE_S = 0.01
-SURPRISES_IN_A_ROW = 3
-"""So many answers in a row that all come far later, or all far sooner, than expected show
-that the engine has changed: what was learned before them is forgotten."""
+DEVIATION_FACTOR = 1.5
+DEVIATION_S = 0.01
+MAX_CONSECUTIVE_DEVIATIONS = 3
+"""This many consecutive answers that all come far later, or all far sooner, than expected show that
+the engine has changed: older samples are dropped."""
 
-TOKEN_WEIGHT = 0.05
-"""Of one answer's time a token."""
+TOKEN_TIME_WEIGHT = 0.05
+"""Weight of one answer's time per output token in the moving average."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReadSample:
-    """Prompts that the engine read in one go, as their grants and answers tell."""
+    """Prompts that the engine finished reading together, by the times of grants and answers."""
 
     granted_s: float
-    """Of the first of them."""
+    """When the first of them was granted."""
     previous_s: float
-    """When the answer before them began."""
+    """When the answer before theirs began."""
     begun_s: float
     """When the last of their answers began."""
     tokens: int
-    """Prompt tokens that were to be read."""
+    """The number of prompt tokens that had to be read."""
 
 
 @dataclass(slots=True)
 class EngineModel:
-    """One engine as its answers show it."""
+    """The estimated performance of one engine."""
 
     rate_tokens_per_s: float = PRIOR_RATE_TOKENS_PER_S
     """How fast it reads prompts."""
     delay_s: float = PRIOR_DELAY_S
-    """From a grant to the first event heard, beside the reading."""
+    """From a grant to the answer's first event received, without the reading time."""
     token_s: float = PRIOR_TOKEN_S
-    """From one token that it makes for a request to the next."""
+    """Between two output tokens of a request."""
     samples: int = 0
-    """Answers learned from, those of earlier owners included."""
+    """The number of answers learned from, including those of earlier owners."""
     sampled_at_s: float = -math.inf
-    recent: deque[ReadSample] = field(default_factory=lambda: deque(maxlen=KEPT_SAMPLES))
+    recent: deque[ReadSample] = field(default_factory=lambda: deque(maxlen=MAX_SAMPLES))
     """The newest first."""
-    surprises: int = 0
-    """Answers in a row that were far too late, or, below zero, far too soon."""
+    consecutive_deviations: int = 0
+    """Consecutive answers that came far too late, or, if negative, far too soon."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Judged:
-    """A delay that may be the engine's."""
+class _DelayFit:
+    """A candidate for the engine's delay, and how well it fits the answers."""
 
     delay_s: float
     token_read_s: float
-    """Reading time of a token, if this is the delay."""
+    """Reading time per token that follows from the delay."""
     misfit: float
-    """What the last answers miss by, as a part of their reading time, the older ones
-    counting less. A part, since a delay too long leaves less to miss."""
+    """Weighted deviation of the last answers, older ones with less weight, as a fraction of their
+    reading time. It is relative since a delay that is too long leaves less reading time to miss."""
 
 
-def make_model(like: EngineEstimate | None) -> EngineModel:
-    """Return the model of an engine that has not answered yet.
+def make_model(similar: EngineEstimate | None) -> EngineModel:
+    """Return the initial model of an engine.
 
-    :param like: what is known of it from elsewhere, or of another engine of its pool.
+    :param similar: an estimate of it by another owner, or of another engine of its pool.
     """
     model = EngineModel()
-    if like is not None and like.rate_tokens_per_s > 0.0:
-        model.rate_tokens_per_s = like.rate_tokens_per_s
-        model.delay_s = max(like.delay_ms, 0.0) / 1000.0
-        model.token_s = max(like.token_ms, 0.0) / 1000.0
+    if similar is not None and similar.rate_tokens_per_s > 0.0:
+        model.rate_tokens_per_s = similar.rate_tokens_per_s
+        model.delay_s = max(similar.delay_ms, 0.0) / 1000.0
+        model.token_s = max(similar.token_ms, 0.0) / 1000.0
     read_s = PRIOR_TOKENS / model.rate_tokens_per_s
     model.recent.append(ReadSample(0.0, -math.inf, model.delay_s + read_s, PRIOR_TOKENS))
     return model
 
 
 def adopt_estimate(model: EngineModel, estimate: EngineEstimate, now_s: float) -> EngineModel:
-    """Take over what an earlier owner had learned, if it is more than what is known here."""
+    """Return the model of an earlier owner's estimate, if that is based on more answers."""
     if estimate.samples <= model.samples:
         return model
     adopted = make_model(estimate)
@@ -133,8 +133,8 @@
     return adopted
 
 
-def describe_model(model: EngineModel, now_s: float) -> EngineEstimate:
-    """Return the estimate as it is told to other routers."""
+def make_estimate(model: EngineModel, now_s: float) -> EngineEstimate:
+    """Return a model as the estimate that is sent to other routers."""
     age_s = now_s - model.sampled_at_s if model.samples else 0.0
     return EngineEstimate(
         rate_tokens_per_s=round(model.rate_tokens_per_s, 1),
@@ -145,79 +145,79 @@
     )
 
 
-def learn_reading(model: EngineModel, sample: ReadSample, now_s: float) -> None:
-    """Learn from answers that have begun."""
+def learn_reading_rate(model: EngineModel, sample: ReadSample, now_s: float) -> None:
+    """Update the reading rate and delay from answers that have begun."""
     start_s = max(sample.granted_s + model.delay_s, sample.previous_s)
     expected_s = sample.tokens / model.rate_tokens_per_s
     elapsed_s = sample.begun_s - start_s
-    _notice_change(model, elapsed_s, expected_s)
-    longest_s = LONGEST_FACTOR * expected_s + LONGEST_EXTRA_S
+    _reset_after_change(model, elapsed_s, expected_s)
+    longest_s = OUTLIER_FACTOR * expected_s + OUTLIER_EXTRA_S
     if elapsed_s > longest_s:
         sample = replace(sample, begun_s=start_s + longest_s)
     model.recent.appendleft(sample)
     model.samples += 1
     model.sampled_at_s = now_s
-    _fit(model)
+    _fit_delay_and_rate(model)
 
 
-def learn_making(model: EngineModel, tokens: int, elapsed_s: float) -> None:
-    """Learn from an answer that has ended how long a token takes.
+def learn_token_time(model: EngineModel, tokens: int, elapsed_s: float) -> None:
+    """Update the time per output token from an answer that has ended.
 
-    :param tokens: that were expected of it, since forecasts are made from these as well.
+    :param tokens: its expected output tokens, since forecasts are based on these as well.
     """
     if tokens > 0 and elapsed_s > 0.0:
-        model.token_s += TOKEN_WEIGHT * (elapsed_s / tokens - model.token_s)
+        model.token_s += TOKEN_TIME_WEIGHT * (elapsed_s / tokens - model.token_s)
 
 
-def _notice_change(model: EngineModel, elapsed_s: float, expected_s: float) -> None:
-    """Forget what was learned once the engine has plainly changed."""
-    late = elapsed_s > SURPRISE_FACTOR * expected_s + SURPRISE_S
-    soon = elapsed_s < expected_s / SURPRISE_FACTOR - SURPRISE_S
+def _reset_after_change(model: EngineModel, elapsed_s: float, expected_s: float) -> None:
+    """Drop older samples when consecutive deviations show that the engine has changed."""
+    late = elapsed_s > DEVIATION_FACTOR * expected_s + DEVIATION_S
+    soon = elapsed_s < expected_s / DEVIATION_FACTOR - DEVIATION_S
     if late:
-        model.surprises = max(model.surprises, 0) + 1
+        model.consecutive_deviations = max(model.consecutive_deviations, 0) + 1
     elif soon:
-        model.surprises = min(model.surprises, 0) - 1
+        model.consecutive_deviations = min(model.consecutive_deviations, 0) - 1
     else:
-        model.surprises = 0
-    if abs(model.surprises) < SURPRISES_IN_A_ROW:
+        model.consecutive_deviations = 0
+    if abs(model.consecutive_deviations) < MAX_CONSECUTIVE_DEVIATIONS:
         return
-    model.surprises = 0
-    while len(model.recent) >= SURPRISES_IN_A_ROW:
+    model.consecutive_deviations = 0
+    while len(model.recent) >= MAX_CONSECUTIVE_DEVIATIONS:
         model.recent.pop()
 
 
-def _fit(model: EngineModel) -> None:
-    """Take the delay near the last one that the answers fit best, and its rate."""
-    best = _judge_delay(model, model.delay_s)
-    least = GAIN_PART * best.misfit
+def _fit_delay_and_rate(model: EngineModel) -> None:
+    """Adopt the delay near the present one that fits the answers best, and its rate."""
+    best = _evaluate_delay(model, model.delay_s)
+    least_misfit = MAX_MISFIT_RATIO * best.misfit
     candidates = [model.delay_s * factor for factor in DELAY_FACTORS]
     candidates += [max(model.delay_s - DELAY_STEP_S, 0.0), model.delay_s + DELAY_STEP_S]
     for delay_s in candidates:
-        judged = _judge_delay(model, delay_s)
-        if judged.misfit < least:
-            best = judged
-            least = judged.misfit
+        fit = _evaluate_delay(model, delay_s)
+        if fit.misfit < least_misfit:
+            best = fit
+            least_misfit = fit.misfit
     before = model.rate_tokens_per_s
-    shortest_s = 1.0 / (LARGEST_RISE * before)
-    longest_s = LARGEST_FALL / before
+    shortest_s = 1.0 / (MAX_RATE_RISE_FACTOR * before)
+    longest_s = MAX_RATE_FALL_FACTOR / before
     model.delay_s = best.delay_s
     model.rate_tokens_per_s = 1.0 / min(max(best.token_read_s, shortest_s), longest_s)
 
 
-def _judge_delay(model: EngineModel, delay_s: float) -> _Judged:
-    """Return the rate that a delay implies, and how badly the two fit the last answers."""
+def _evaluate_delay(model: EngineModel, delay_s: float) -> _DelayFit:
+    """Return the reading time per token that a delay implies, and the misfit of both."""
     tokens = 0.0
     reading_s = 0.0
     weight = 1.0
-    weighed = []
+    weighted = []
     for sample in model.recent:
         elapsed_s = sample.begun_s - max(sample.granted_s + delay_s, sample.previous_s)
-        weighed.append((weight, elapsed_s, sample.tokens))
+        weighted.append((weight, elapsed_s, sample.tokens))
         tokens += weight * sample.tokens
         reading_s += weight * elapsed_s
-        weight *= KEPT_PART
+        weight *= SAMPLE_DECAY
     token_read_s = reading_s / tokens
     missed_s = sum(
-        weight * abs(elapsed_s - token_read_s * read) for weight, elapsed_s, read in weighed
+        weight * abs(elapsed_s - token_read_s * read) for weight, elapsed_s, read in weighted
     )
-    return _Judged(delay_s, token_read_s, missed_s / max(reading_s, SHORTEST_READING_S))
+    return _DelayFit(delay_s, token_read_s, missed_s / max(reading_s, MIN_READING_S))
--- a/packages/core/src/myrtlehook_core/process/engine_queues.py
+++ b/packages/core/src/myrtlehook_core/process/engine_queues.py
@@ -1,7 +1,7 @@
-"""The owner's side of admission: what it hears of its engines, from entries and in time.
+"""Admission queues at an engine's owner: handling of messages from ingress routers, and ticks.
 
-Requests wait here and not at the engine, which admits in the order of arrival and knows
-no workspaces. Just enough prompt tokens are granted ahead to keep the engine reading.
+Requests wait here and not at the engine, which serves in the order of arrival and does not
+know workspaces. Just enough prompt tokens are granted ahead to keep the engine reading.
 """
 
 import math
@@ -17,32 +17,32 @@
     HeldAdmissionRow,
     HeldAdmissions,
 )
-from myrtlehook_core.process.cold_engines import make_pace, start_cold
+from myrtlehook_core.process.aim_demands import record_aim_demand
+from myrtlehook_core.process.cold_engines import make_pace, mark_cold
 from myrtlehook_core.process.ejections import note_end
 from myrtlehook_core.process.engine_decisions import (
     EngineQueues,
     QueueContext,
     admit_or_refuse,
-    fingerprint,
+    compute_fingerprint,
     grant_waiting,
-    refuse_hopeless_admissions,
+    refuse_unservable_admissions,
 )
-from myrtlehook_core.process.engine_forecasts import plan_start
+from myrtlehook_core.process.engine_forecasts import set_start_limit
 from myrtlehook_core.process.engine_loads import (
     EngineLoad,
     GrantedAdmission,
     WaitingAdmission,
     drop_granted,
     end_granted,
-    estimate_unread,
+    estimate_unread_tokens,
     expire_granted,
-    note_begun,
-    was_silent,
+    is_answer_overdue,
+    record_answer_begun,
 )
-from myrtlehook_core.process.engine_models import adopt_estimate, describe_model, make_model
+from myrtlehook_core.process.engine_models import adopt_estimate, make_estimate, make_model
 from myrtlehook_core.process.options import CoreOptions
-from myrtlehook_core.process.prompt_caches import PromptCache, use_parts
-from myrtlehook_core.process.urgent_demands import note_asked
+from myrtlehook_core.process.prompt_caches import PromptCache, record_parts_use
 from myrtlehook_core.version.configurations import Configuration
 
 
@@ -54,9 +54,9 @@
     options: CoreOptions | None = None,
     cold_deadlines_s: Mapping[str, float] | None = None,
 ) -> None:
-    """Take over the engines that are newly owned, and drop what is owned no longer.
+    """Create queues for newly owned engines, and drop those of engines no longer owned.
 
-    :param cold_deadlines_s: until when engines are held to be cold.
+    :param cold_deadlines_s: until when each engine is considered cold.
     """
     for name in list(queues.loads):
         if name not in names:
@@ -64,15 +64,15 @@
     for name in sorted(names - queues.loads.keys()):
         pool = configuration.pools.get(configuration.backend_servers[name].pool)
         if pool is not None and pool.engine is not None:
-            like = _find_like(queues, configuration, pool.name, now_s)
+            similar = _find_similar_estimate(queues, configuration, pool.name, now_s)
             queues.loads[name] = EngineLoad(
                 owned_since_s=now_s,
                 cache=PromptCache(pool.engine.memory_tokens),
-                model=make_model(like),
+                model=make_model(similar),
                 pace=make_pace(options or CoreOptions(), pool.cold_start),
             )
             cold_until_s = (cold_deadlines_s or {}).get(name, -math.inf)
-            start_cold(queues.loads[name].pace, cold_until_s, now_s)
+            mark_cold(queues.loads[name].pace, cold_until_s, now_s)
 
 
 def receive_request(
@@ -82,14 +82,15 @@
     message: AdmissionRequest,
     now_s: float,
 ) -> None:
-    """Queue a request, or answer one that was asked again."""
+    """Queue a request and decide on it, or answer one that was sent again."""
     load = queues.loads.get(message.backend_server)
     if load is None:
-        # Another router owns it by now; the asker learns who and asks there.
+        # Another router owns the engine by now. The sender learns of the new owner and sends
+        # the request there.
         return
     held = load.granted.get(message.request_id)
     if held is not None:
-        estimate = describe_model(load.model, now_s)
+        estimate = make_estimate(load.model, now_s)
         grant = AdmissionGrant(
             message.request_id, message.backend_server, held.unread_tokens, estimate
         )
@@ -98,11 +99,13 @@
     if message.request_id in load.waiting:
         return
     waiting = _make_waiting(sender, message, now_s)
-    known = fingerprint(waiting) in queues.refused
+    known = compute_fingerprint(waiting) in queues.refused_until_s
     waiting.returned = known and context.options.favours_returned
-    plan_start(load, waiting, context.options.aim_slack_part, now_s)
+    set_start_limit(load, waiting, context.options.aim_slack_part, now_s)
     if message.hop == 0:
-        note_asked(load.urgent, waiting.aim_s, estimate_unread(load, waiting), now_s)
+        record_aim_demand(
+            load.aim_demands, waiting.aim_s, estimate_unread_tokens(load, waiting), now_s
+        )
     load.waiting[message.request_id] = waiting
     if admit_or_refuse(queues, context, message.backend_server, load, waiting, now_s):
         grant_waiting(context, message.backend_server, load, now_s)
@@ -111,12 +114,12 @@
 def receive_progress(
     queues: EngineQueues, context: QueueContext, message: AdmissionProgress, now_s: float
 ) -> None:
-    """Note that an answer has begun, and grant what the engine can read next."""
+    """Record that an answer has begun, and grant what the engine can read next."""
     load = queues.loads.get(message.backend_server)
     if load is not None:
-        _note_alive(context, message.backend_server, load, now_s)
-        note_begun(load, message.request_id, context.options.learns_engines, now_s)
-        # A suspect engine has proved itself by beginning an answer.
+        _record_engine_alive(context, message.backend_server, load, now_s)
+        record_answer_begun(load, message.request_id, context.options.learns_engines, now_s)
+        # A suspect engine that begins an answer is healthy again.
         note_end(load.health, False, now_s)
         grant_waiting(context, message.backend_server, load, now_s)
 
@@ -124,13 +127,13 @@
 def receive_admission_release(
     queues: EngineQueues, context: QueueContext, message: AdmissionRelease, now_s: float
 ) -> None:
-    """Forget a request that has ended or was withdrawn."""
+    """Remove a request that has ended or was withdrawn, and eject an engine that keeps failing."""
     load = queues.loads.get(message.backend_server)
     if load is None:
         return
     load.waiting.pop(message.request_id, None)
     ran = message.ran and not message.failed
-    load.doubted = load.doubted or was_silent(load, message.request_id, now_s)
+    load.suspected_down = load.suspected_down or is_answer_overdue(load, message.request_id, now_s)
     known = end_granted(load, message.request_id, ran and context.options.learns_engines, now_s)
     ended = known and (message.ran or message.failed)
     failed = message.failed and context.options.ejects_servers
@@ -139,10 +142,13 @@
     grant_waiting(context, message.backend_server, load, now_s)
 
 
-def receive_held(
+def apply_held_admissions(
     queues: EngineQueues, context: QueueContext, sender: str, message: HeldAdmissions, now_s: float
 ) -> None:
-    """Take a router's own list of what it runs at an engine in place of what was believed."""
+    """Update what is recorded of a router's running requests from the list it reports.
+
+    Requests that are missing from the list are dropped unless they were granted recently.
+    """
     load = queues.loads.get(message.backend_server)
     if load is None:
         return
@@ -155,28 +161,28 @@
             drop_granted(load, request_id)
     if message.estimate is not None and context.options.learns_engines:
         load.model = adopt_estimate(load.model, message.estimate, now_s)
-    use_parts(load.cache, message.recent_parts)
+    record_parts_use(load.cache, message.recent_parts)
     for row in message.rows:
-        use_parts(load.cache, row.parts)
-        _take_held_row(load, sender, row, now_s + context.options.hold_lease_s, now_s)
+        record_parts_use(load.cache, row.parts)
+        _apply_held_row(load, sender, row, now_s + context.options.hold_lease_s, now_s)
 
 
 def tick_queues(queues: EngineQueues, context: QueueContext, now_s: float) -> int:
-    """Expire leases, refuse what cannot be served in time, grant; returns the expired."""
+    """Expire leases, refuse unservable requests, and grant; returns the number of expired."""
     expired = 0
     for name, load in queues.loads.items():
         expired += expire_granted(load, now_s)
         _drop_unreachable(load, context)
-        refuse_hopeless_admissions(queues, context, name, load, now_s)
+        refuse_unservable_admissions(queues, context, name, load, now_s)
         grant_waiting(context, name, load, now_s)
-    forgotten = [key for key, end_s in queues.refused.items() if now_s >= end_s]
-    for key in forgotten:
-        del queues.refused[key]
+    expired_keys = [key for key, end_s in queues.refused_until_s.items() if now_s >= end_s]
+    for key in expired_keys:
+        del queues.refused_until_s[key]
     return expired
 
 
-def drop_queue_beliefs(queues: EngineQueues, now_s: float) -> None:
-    """Forget what waits and runs, as after a pause; entries ask and tell again."""
+def clear_queues(queues: EngineQueues, now_s: float) -> None:
+    """Drop all waiting and granted requests after a pause; ingress routers report them again."""
     for load in queues.loads.values():
         load.waiting.clear()
         load.granted.clear()
@@ -184,22 +190,22 @@
         load.owned_since_s = now_s
 
 
-def _note_alive(context: QueueContext, name: str, load: EngineLoad, now_s: float) -> None:
-    """Note that an engine begins an answer; one that may have been down is cold now."""
+def _record_engine_alive(context: QueueContext, name: str, load: EngineLoad, now_s: float) -> None:
+    """Record that an engine begins an answer, and mark it cold if it may have been down."""
     oldest = next(iter(load.reading), "")
-    silent = load.doubted or was_silent(load, oldest, now_s)
+    silent = load.suspected_down or is_answer_overdue(load, oldest, now_s)
     reason = "failed before" if load.health.suspect else "was silent" if silent else ""
-    load.doubted = False
-    load.heard_at_s = now_s
-    until_s = now_s + load.pace.lasts_s
-    if reason and start_cold(load.pace, until_s, now_s):
+    load.suspected_down = False
+    load.last_answer_at_s = now_s
+    until_s = now_s + load.pace.default_cold_s
+    if reason and mark_cold(load.pace, until_s, now_s):
         context.out.add(ColdEngineNoted(name, until_s, reason))
 
 
-def _find_like(
+def _find_similar_estimate(
     queues: EngineQueues, configuration: Configuration, pool: str, now_s: float
 ) -> EngineEstimate | None:
-    """Return what is known of the pool's best known engine here: they are mostly alike."""
+    """Return the estimate with most samples in the pool, whose engines are mostly alike."""
     known = [
         load.model
         for name, load in queues.loads.items()
@@ -207,13 +213,13 @@
         and configuration.backend_servers[name].pool == pool
     ]
     best = max(known, key=lambda model: model.samples, default=None)
-    return None if best is None or not best.samples else describe_model(best, now_s)
+    return None if best is None or not best.samples else make_estimate(best, now_s)
 
 
-def _take_held_row(
+def _apply_held_row(
     load: EngineLoad, sender: str, row: HeldAdmissionRow, lease_deadline_s: float, now_s: float
 ) -> None:
-    """Believe what a router says of one request that it runs at the engine."""
+    """Record one request that a router reports to run at the engine."""
     item = load.granted.get(row.request_id)
     if item is None:
         item = GrantedAdmission(
@@ -228,14 +234,14 @@
         load.granted[row.request_id] = item
         load.reading[row.request_id] = item
     if row.begun and not item.begun:
-        # When it began is not told: its time is not learned from.
+        # The message does not say when the answer began, so no reading time is learned from it.
         item.begun = True
         item.begun_at_s = now_s
         load.reading.pop(row.request_id, None)
 
 
 def _drop_unreachable(load: EngineLoad, context: QueueContext) -> None:
-    """Forget what routers hold that are dead: their connections ended with them."""
+    """Drop the requests of unreachable routers, whose connections to engines have ended too."""
     for request_id, item in list(load.granted.items()):
         if not context.reachable(item.router_id):
             drop_granted(load, request_id)
--- a/packages/core/src/myrtlehook_core/process/event_handlers.py
+++ b/packages/core/src/myrtlehook_core/process/event_handlers.py
@@ -8,8 +8,8 @@
 from myrtlehook_core.process.admission_ends import abandon_admission, end_admission
 from myrtlehook_core.process.admissions import (
     is_admitted_by_tokens,
-    note_progress,
     open_admission,
+    record_progress,
     retry_admission,
     tick_admissions,
 )
@@ -28,7 +28,6 @@
     RunningRequest,
     drop_idle_queues,
 )
-from myrtlehook_core.process.intakes import count_in
 from myrtlehook_core.process.leaving_servers import (
     forget_left,
     note_incarnation,
@@ -69,6 +68,7 @@
     retry_run,
 )
 from myrtlehook_core.process.server_notice_handlers import on_server_noticed
+from myrtlehook_core.process.share_standings import count_arrival
 from myrtlehook_core.process.shares import Reporters, send_demand_reports, send_zone_reports
 from myrtlehook_core.process.source_handlers import (
     PLATFORM,
@@ -100,7 +100,7 @@
 def _on_request(core: "RouterCore", event: events.RequestArrived, now_s: float) -> None:
     entry = core.entry
     if is_admitted_by_tokens(core.entry_context(), event.request):
-        intake = event.intake or count_in(core.shares, event.request, now_s)
+        intake = event.intake or count_arrival(core.shares, event.request, now_s)
         open_admission(core.admissions, core.admission_context(), event.request, intake, now_s)
         return
     key = accept_request(entry, core.entry_context(), event.request, now_s)
@@ -123,7 +123,7 @@
 
 def _on_service(core: "RouterCore", event: events.ServiceObserved, now_s: float) -> None:
     context = core.admission_context()
-    if not note_progress(core.admissions, context, event.request_id, event.observed_units):
+    if not record_progress(core.admissions, context, event.request_id, event.observed_units):
         record_observed_service(core.entry, event.request_id, event.observed_units)
 
 
--- a/packages/core/src/myrtlehook_core/process/events.py
+++ b/packages/core/src/myrtlehook_core/process/events.py
@@ -3,8 +3,8 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from myrtlehook_core.process.intakes import Intake
 from myrtlehook_core.process.messages import Message
+from myrtlehook_core.process.share_standings import ShareStanding
 from myrtlehook_core.request.outcomes import RetryReason
 from myrtlehook_core.request.requests import RequestSpecification
 from myrtlehook_core.version.configurations import BackendServer
@@ -19,7 +19,7 @@
     """A checked request wants a slot."""
 
     request: RequestSpecification
-    intake: Intake | None = None
+    intake: ShareStanding | None = None
     """How it stands to its workspace's share; None while it is not counted there."""
 
 
--- a/packages/core/src/myrtlehook_core/process/message_handlers.py
+++ b/packages/core/src/myrtlehook_core/process/message_handlers.py
@@ -17,14 +17,14 @@
     HeldAdmissions,
     ShareLevel,
 )
-from myrtlehook_core.process.admissions import take_grant, take_refusal
+from myrtlehook_core.process.admissions import handle_grant, handle_refusal
 from myrtlehook_core.process.bidding import (
     send_bid,
     send_hold_list,
 )
 from myrtlehook_core.process.engine_queues import (
+    apply_held_admissions,
     receive_admission_release,
-    receive_held,
     receive_progress,
     receive_request,
 )
@@ -208,13 +208,13 @@
 def _take_admission_grant(
     core: "RouterCore", sender: str, message: AdmissionGrant, now_s: float
 ) -> None:
-    take_grant(core.admissions, core.admission_context(), sender, message, now_s)
+    handle_grant(core.admissions, core.admission_context(), sender, message, now_s)
 
 
 def _take_admission_refusal(
     core: "RouterCore", sender: str, message: AdmissionRefusal, now_s: float
 ) -> None:
-    take_refusal(core.admissions, core.admission_context(), message, now_s)
+    handle_refusal(core.admissions, core.admission_context(), message, now_s)
 
 
 def _take_admission_progress(
@@ -232,7 +232,7 @@
 def _take_held_admissions(
     core: "RouterCore", sender: str, message: HeldAdmissions, now_s: float
 ) -> None:
-    receive_held(core.queues, core.queue_context(), sender, message, now_s)
+    apply_held_admissions(core.queues, core.queue_context(), sender, message, now_s)
 
 
 def _take_demand(core: "RouterCore", sender: str, message: DemandReport, now_s: float) -> None:
--- a/packages/core/src/myrtlehook_core/process/prompt_caches.py
+++ b/packages/core/src/myrtlehook_core/process/prompt_caches.py
@@ -1,7 +1,7 @@
-"""A model of one engine's prompt cache, from what was granted there.
+"""An estimate of one engine's prompt cache, based on the requests granted there.
 
-An engine keeps the parts of prompts that it has read until memory runs out; the parts
-left unused longest give way. A kept part counts only if every part before it is kept.
+An engine caches the parts of prompts that it has read, and evicts the least recently used ones
+when memory runs out. A cached part is a hit only if every part before it is cached too.
 """
 
 from collections import OrderedDict
@@ -19,36 +19,36 @@
 
     @property
     def tokens(self) -> int:
-        """Its length."""
+        """The part's length."""
 
 
 @dataclass(slots=True)
 class PromptCache:
-    """The parts that an engine is expected to keep, the one used last at the end."""
+    """The parts that an engine is expected to cache, the most recently used one last."""
 
     capacity_tokens: int
     parts: OrderedDict[str, int] = field(default_factory=OrderedDict)
     held_tokens: int = 0
 
 
-def count_kept(cache: PromptCache, parts: Iterable[Part]) -> int:
-    """Return how many tokens of a prompt's beginning the engine keeps."""
-    kept = 0
+def count_cached_tokens(cache: PromptCache, parts: Iterable[Part]) -> int:
+    """Return how many tokens of a prompt's beginning the engine caches."""
+    cached = 0
     for part in parts:
         if part.part_id not in cache.parts:
             break
-        kept += part.tokens
-    return kept
+        cached += part.tokens
+    return cached
 
 
-def count_unread(cache: PromptCache, parts: Iterable[Part], prompt_tokens: int) -> int:
+def count_unread_tokens(cache: PromptCache, parts: Iterable[Part], prompt_tokens: int) -> int:
     """Return how many tokens of a prompt the engine would have to read."""
     # The last token of a prompt is always read.
-    return max(prompt_tokens - count_kept(cache, parts), 1)
+    return max(prompt_tokens - count_cached_tokens(cache, parts), 1)
 
 
-def use_parts(cache: PromptCache, parts: Iterable[Part]) -> None:
-    """Note that a prompt is read or found there, and drop what gives way to it."""
+def record_parts_use(cache: PromptCache, parts: Iterable[Part]) -> None:
+    """Record that a prompt was read or found in the cache, and evict parts over capacity."""
     for part in parts:
         known = cache.parts.pop(part.part_id, 0)
         cache.parts[part.part_id] = part.tokens
--- a/packages/core/src/myrtlehook_core/process/refusals.py
+++ b/packages/core/src/myrtlehook_core/process/refusals.py
@@ -12,8 +12,8 @@
 from myrtlehook_core.request.admission import (
     TokenBucket,
     can_meet_deadline,
+    compute_retry_after_s,
     find_queue_refusal,
-    retry_after_s,
     take_token,
 )
 from myrtlehook_core.request.outcomes import RefusalReason
@@ -141,7 +141,9 @@
     wait_s = find_hold_s(context.quarantine, request.fingerprint, now_s)
     if not wait_s:
         backoff_s = find_retry_wait_s(ingress, context, request, now_s)
-        wait_s = max(retry_after_s(ingress.queues.get(make_pool_key(request)), now_s), backoff_s)
+        wait_s = max(
+            compute_retry_after_s(ingress.queues.get(make_pool_key(request)), now_s), backoff_s
+        )
     context.actions.add(Refuse(request.request_id, reason, wait_s))
 
 
--- a/packages/core/src/myrtlehook_core/process/routers.py
+++ b/packages/core/src/myrtlehook_core/process/routers.py
@@ -14,22 +14,26 @@
     PauseNoticed,
     Send,
 )
-from myrtlehook_core.process.admission_asking import AdmissionContext, Admissions
-from myrtlehook_core.process.admission_handover import announce_admissions, forget_engines
+from myrtlehook_core.process.admission_handover import announce_admissions, drop_removed_engines
+from myrtlehook_core.process.admission_requests import AdmissionContext, Admissions
 from myrtlehook_core.process.bidding import (
     send_holds_to_new_owners,
 )
 from myrtlehook_core.process.choosers import Draw
 from myrtlehook_core.process.cold_engines import ColdEngines
-from myrtlehook_core.process.cold_handlers import follow_servers
+from myrtlehook_core.process.cold_handlers import mark_cold_engines
 from myrtlehook_core.process.engine_decisions import (
     EngineQueues,
     QueueContext,
     find_next_grant,
 )
-from myrtlehook_core.process.engine_loads import EngineFigures, find_backlog, find_window
-from myrtlehook_core.process.engine_models import describe_model
-from myrtlehook_core.process.engine_queues import drop_queue_beliefs, set_owned_engines
+from myrtlehook_core.process.engine_loads import (
+    EngineFigures,
+    compute_window_tokens,
+    estimate_backlog_tokens,
+)
+from myrtlehook_core.process.engine_models import make_estimate
+from myrtlehook_core.process.engine_queues import clear_queues, set_owned_engines
 from myrtlehook_core.process.event_handlers import EVENT_HANDLERS
 from myrtlehook_core.process.ingress import (
     IngressContext,
@@ -154,12 +158,12 @@
         return [
             EngineFigures(
                 backend_server=name,
-                estimate=describe_model(load.model, self._now_s),
-                window_tokens=find_window(load, self.options),
-                backlog_tokens=find_backlog(load, self._now_s),
+                estimate=make_estimate(load.model, self._now_s),
+                window_tokens=compute_window_tokens(load, self.options),
+                backlog_tokens=estimate_backlog_tokens(load, self._now_s),
                 waiting_requests=len(load.waiting),
                 granted_requests=len(load.granted),
-                cold_until_s=load.pace.until_s,
+                cold_until_s=load.pace.cold_until_s,
             )
             for name, load in sorted(self.queues.loads.items())
         ]
@@ -200,7 +204,7 @@
             entry=self.entry,
             entry_context=self.entry_context(),
             shares=self.shares,
-            owner_of=self.placement.server_owners.get,
+            find_owner=self.placement.server_owners.get,
             now_s=self._now_s,
             availability_zone=self.identity.availability_zone,
         )
@@ -252,7 +256,7 @@
     def _settle(self, now_s: float) -> None:
         """Follow ownership, then deliver messages, this router's own included."""
         self._follow_ownership(now_s)
-        follow_servers(self, now_s)
+        mark_cold_engines(self, now_s)
         self._deliver(now_s)
         if self.quarantine.is_news:
             refuse_waiting(self, now_s)
@@ -281,7 +285,7 @@
         owners = self.placement.server_owners
         moved = {name: owner for name, owner in owners.items() if before.get(name) != owner}
         announce_admissions(self.admissions, self.admission_context(), moved, now_s)
-        forget_engines(self.admissions, frozenset(owners))
+        drop_removed_engines(self.admissions, frozenset(owners))
         send_holds_to_new_owners(self.entry, before, self.placement, self.post)
         self.entry.handover_until_s = now_s + self.options.handover_s
         for account in self.entry.accounts.values():
@@ -303,7 +307,7 @@
         self.last_tick_s = now_s
         self.out.add(PauseNoticed(late_s))
         reset_owner_state(self.owner, now_s)
-        drop_queue_beliefs(self.queues, now_s)
+        clear_queues(self.queues, now_s)
         self.entry.advertised_requests.clear()
         self.prober.pending.clear()
         self.prober.missed.clear()
--- a/packages/core/src/myrtlehook_core/request/admission.py
+++ b/packages/core/src/myrtlehook_core/request/admission.py
@@ -1,4 +1,4 @@
-"""Whether a new request may join its queue, and when a refused caller should return."""
+"""Limits on joining a workspace's queue, and the retry delay of refused clients."""
 
 from dataclasses import dataclass
 
@@ -9,8 +9,8 @@
 MAXIMUM_RETRY_AFTER_S = 600.0
 
 GIVE_UP_FACTOR = 2.0
-"""A queued request is given up only when its expected wait exceeds what is left
-by this factor, because the measured rate of a queue is noisy."""
+"""A queued request is refused only when its expected wait exceeds the time to its
+deadline by this factor, because the measured rate of a queue is noisy."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,14 +25,14 @@
 
 @dataclass(slots=True)
 class TokenBucket:
-    """The admission rate of one workspace at one router."""
+    """The token bucket that limits one workspace's request rate at one router."""
 
     level_requests: float
     filled_at_s: float
 
 
 def take_token(bucket: TokenBucket, limits: QueueLimits, now_s: float) -> bool:
-    """Take one request's token; False when the workspace comes too fast."""
+    """Take one request's token; False when the workspace exceeds its rate."""
     refill = max(now_s - bucket.filled_at_s, 0.0) * limits.requests_per_s
     bucket.level_requests = min(float(limits.burst_requests), bucket.level_requests + refill)
     bucket.filled_at_s = now_s
@@ -45,7 +45,7 @@
 def find_queue_refusal(
     queue: WorkspaceQueue, limits: QueueLimits, body_bytes: int
 ) -> RefusalReason | None:
-    """Return the bound that one more request would break, if any."""
+    """Return the refusal for the limit that one more request would exceed, if any."""
     if len(queue.waiting) >= limits.queued_requests:
         return RefusalReason.QUEUE_FULL
     if queue.queued_bytes + body_bytes > limits.queued_bytes:
@@ -56,15 +56,15 @@
 def can_meet_deadline(
     queue: WorkspaceQueue, position: int, deadline_s: float, now_s: float
 ) -> bool:
-    """Tell whether the request at ``position`` may still be dispatched in time."""
+    """Return whether the request at ``position`` may still be dispatched before its deadline."""
     if deadline_s <= now_s:
         return False
     wait_s = expected_wait_s(queue, position, now_s)
     return wait_s is None or wait_s <= GIVE_UP_FACTOR * (deadline_s - now_s)
 
 
-def retry_after_s(queue: WorkspaceQueue | None, now_s: float) -> float:
-    """Work out when to come back, from the workspace's own backlog and rate."""
+def compute_retry_after_s(queue: WorkspaceQueue | None, now_s: float) -> float:
+    """Return the retry delay for a client, from its workspace's own backlog and rate."""
     if queue is None:
         return MINIMUM_RETRY_AFTER_S
     wait_s = expected_wait_s(queue, len(queue.waiting), now_s)
--- a/packages/router/src/myrtlehook_router/request/gateways.py
+++ b/packages/router/src/myrtlehook_router/request/gateways.py
@@ -10,15 +10,15 @@
 from result import Err, Result
 
 from myrtlehook_core import (
-    Intake,
     RefusalReason,
     RequestSpecification,
+    ShareStanding,
     book_return,
     choose_pool,
-    count_in,
+    count_arrival,
     find_share_tokens,
     fingerprint_request,
-    turn_away,
+    should_shed,
 )
 from myrtlehook_router.connection.clients import ClientPool
 from myrtlehook_router.connection.watches import CallerWatch
@@ -132,7 +132,9 @@
     pool = services.requests.configuration().pools.get(specification.pool)
     # Streams are what costs processor time.
     costly = pool is not None and pool.engine is not None
-    intake = count_in(services.requests.shares, specification, clocks.now_s()) if costly else None
+    intake = (
+        count_arrival(services.requests.shares, specification, clocks.now_s()) if costly else None
+    )
     if intake is not None and _turns_away(services, specification, intake):
         refusal = _overloaded(services, request)
         return _refuse(services, request.environ, refusal, request, specification)
@@ -165,11 +167,11 @@
 
 
 def _turns_away(
-    services: GatewayServices, specification: RequestSpecification, intake: Intake
+    services: GatewayServices, specification: RequestSpecification, intake: ShareStanding
 ) -> bool:
     """Tell whether to refuse a request for want of processor time."""
     shares = services.requests.shares
-    return turn_away(shares, services.requests.shedding, specification, intake, clocks.now_s())
+    return should_shed(shares, services.requests.shedding, specification, intake, clocks.now_s())
 
 
 def _overloaded(services: GatewayServices, request: RoutedRequest) -> Refusal:
--- a/packages/router/src/myrtlehook_router/request/placements.py
+++ b/packages/router/src/myrtlehook_router/request/placements.py
@@ -6,12 +6,12 @@
 from result import Err, Ok, Result
 
 from myrtlehook_core import (
-    Intake,
     Outcome,
     Pool,
     RefusalReason,
     RequestSpecification,
     RetryReason,
+    ShareStanding,
     Workspace,
     actions,
     events,
@@ -103,7 +103,7 @@
     services: RequestServices,
     specification: RequestSpecification,
     environ: dict[str, Any],
-    intake: Intake | None = None,
+    intake: ShareStanding | None = None,
 ) -> Result[Place, Refusal]:
     """Hand a specified request to the core.
 
--- a/tests/standins/engine_models.py
+++ b/tests/standins/engine_models.py
@@ -37,7 +37,11 @@
     find_next_grant,
     grant_due,
 )
-from myrtlehook_core.process.engine_loads import EngineLoad, find_read_end, find_window
+from myrtlehook_core.process.engine_loads import (
+    EngineLoad,
+    compute_window_tokens,
+    estimate_read_end_s,
+)
 from myrtlehook_core.process.engine_queues import (
     receive_admission_release,
     receive_progress,
@@ -133,7 +137,7 @@
     @property
     def window_tokens(self) -> float:
         """How much the owner keeps unread at the engine."""
-        return find_window(self.load, self.options)
+        return compute_window_tokens(self.load, self.options)
 
     def at(self, time_s: float, work: Callable[[], None]) -> None:
         """Do something at a time."""
@@ -198,7 +202,7 @@
     def _carry(self, request_id: str) -> None:
         message = self._asked.pop(request_id)
         model = self.load.model
-        read_end_s = find_read_end(self.load, self.now_s)
+        read_end_s = estimate_read_end_s(self.load, self.now_s)
         self._expected[request_id] = CheckedForecast(read_end_s + model.delay_s, model.samples)
         run = _Run(request_id, message.prompt_tokens, message.output_tokens)
         self.at(self.now_s + self.traits.transit_s, lambda: self.reading.append(run))
--- a/tests/standins/histories.py
+++ b/tests/standins/histories.py
@@ -28,10 +28,10 @@
     Shedding,
     SourceOrder,
     actions,
-    count_in,
+    count_arrival,
     encode_message,
     events,
-    turn_away,
+    should_shed,
 )
 from standins.pools import POOL, make_configuration, name_zone
 
@@ -289,9 +289,9 @@
             return
         outcome = self.outcomes[request.request_id] = Outcome(entry, request.deadline_s)
         shares = self.alive[entry].shares
-        intake = count_in(shares, request, self.now_s)
+        intake = count_arrival(shares, request, self.now_s)
         shedding = self.shedding.get(entry)
-        if shedding is not None and turn_away(shares, shedding, request, intake, self.now_s):
+        if shedding is not None and should_shed(shares, shedding, request, intake, self.now_s):
             outcome.refused_at_s.append(self.now_s)
             return
         self.feed(entry, events.RequestArrived(request, intake))
--- a/tests/steps/admission_steps.py
+++ b/tests/steps/admission_steps.py
@@ -32,7 +32,7 @@
     ServerHealth,
     note_end,
 )
-from myrtlehook_core.process.prompt_caches import PromptCache, count_unread, use_parts
+from myrtlehook_core.process.prompt_caches import PromptCache, count_unread_tokens, record_parts_use
 from myrtlehook_core.process.shares import Shares, apply_level, record_asked
 from myrtlehook_core.version.discovery import Discovery, expire_lapsed, take_servers
 from myrtlehook_core.version.exchange import ConfigurationExchange, take_document
@@ -236,8 +236,8 @@
         cache = PromptCache(1000)
         for prompt in prompts:
             tokens = sum(item.tokens for item in prompt)
-            assert 1 <= count_unread(cache, prompt, tokens) <= tokens
-            use_parts(cache, prompt)
+            assert 1 <= count_unread_tokens(cache, prompt, tokens) <= tokens
+            record_parts_use(cache, prompt)
             assert cache.held_tokens == sum(cache.parts.values())
             assert cache.held_tokens <= 1000 or len(cache.parts) == 1
 
--- a/tests/steps/cold_engine_steps.py
+++ b/tests/steps/cold_engine_steps.py
@@ -9,7 +9,12 @@
 from behave import then, when
 
 from myrtlehook_core import BackendServer, ColdStart, CoreOptions
-from myrtlehook_core.process.cold_engines import ColdPace, find_opening, make_pace, note_grant
+from myrtlehook_core.process.cold_engines import (
+    ColdPace,
+    find_next_grant_s,
+    make_pace,
+    record_grant,
+)
 from standins.histories import History, Network
 from standins.pools import make_request
 
@@ -201,13 +206,13 @@
 
 def _list_grants(pace: ColdPace, start_s: float, end_s: float) -> list[float]:
     """Return when an owner grants that always has something to grant."""
-    pace.until_s = end_s
+    pace.cold_until_s = end_s
     granted_s = []
     now_s = start_s
     while now_s < end_s:
-        if find_opening(pace, now_s) <= now_s:
+        if find_next_grant_s(pace, now_s) <= now_s:
             granted_s.append(now_s)
-            note_grant(pace, now_s)
+            record_grant(pace, now_s)
         now_s += STEP_S
     return granted_s
 
--- a/tests/steps/engine_model_steps.py
+++ b/tests/steps/engine_model_steps.py
@@ -12,8 +12,8 @@
 from myrtlehook_core.process.actions import Outbox
 from myrtlehook_core.process.admission_messages import HeldAdmissions
 from myrtlehook_core.process.engine_decisions import QueueContext
-from myrtlehook_core.process.engine_models import describe_model
-from myrtlehook_core.process.engine_queues import receive_held, set_owned_engines
+from myrtlehook_core.process.engine_models import make_estimate
+from myrtlehook_core.process.engine_queues import apply_held_admissions, set_owned_engines
 from myrtlehook_core.process.outboxes import MessageOutbox
 from standins.engine_models import ENGINE, ROUTER, OwnedEngine, Traits, arrive, flood
 
@@ -197,7 +197,7 @@
     context.old = _learned(Traits(read_tokens_per_s=150_000.0, first_delay_s=0.05), 3, 2_000.0)
     context.new = OwnedEngine(Traits())
     now_s = context.old.now_s
-    estimate = describe_model(context.old.load.model, now_s)
+    estimate = make_estimate(context.old.load.model, now_s)
     context.new.run_until(1.0)
     message = HeldAdmissions(ENGINE, (), (), estimate)
     queue_context = QueueContext(
@@ -207,13 +207,13 @@
         out=Outbox(),
         post=MessageOutbox(),
     )
-    receive_held(context.new.queues, queue_context, ROUTER, message, context.new.now_s)
+    apply_held_admissions(context.new.queues, queue_context, ROUTER, message, context.new.now_s)
     context.estimate = estimate
 
 
 @then("its new owner believes what the last one did, and for how long it has")
 def check_handover(context: Any) -> None:
-    believed = describe_model(context.new.load.model, context.new.now_s)
+    believed = make_estimate(context.new.load.model, context.new.now_s)
     assert believed == context.estimate, (believed, context.estimate)
 
 
@@ -229,7 +229,7 @@
 
 @then("it is expected to be like that one")
 def check_like(context: Any) -> None:
-    known = describe_model(context.old.load.model, context.old.now_s)
+    known = make_estimate(context.old.load.model, context.old.now_s)
     new = context.old.queues.loads["e1"].model
     assert abs(new.rate_tokens_per_s - known.rate_tokens_per_s) < 1.0
     assert abs(new.delay_s * 1000.0 - known.delay_ms) < 0.1
--- a/tests/steps/memory_source_steps.py
+++ b/tests/steps/memory_source_steps.py
@@ -7,7 +7,7 @@
 from behave import then, when
 
 from myrtlehook_core import BackendServer, CoreOptions, events
-from myrtlehook_core.process.admission_asking import Admission, find_source
+from myrtlehook_core.process.admission_requests import Admission, find_memory_source
 from standins.histories import History, Network
 from standins.pools import make_request
 
@@ -79,9 +79,9 @@
     parts = OrderedDict((part.part_id, part.tokens) for part in request.prompt_parts)
     core.admissions.recent_parts["x0"] = parts
     asked = Admission(request, backend_server="e0")
-    context.sources = [find_source(core.admissions, core.admission_context(), asked)]
+    context.sources = [find_memory_source(core.admissions, core.admission_context(), asked)]
     core.admissions.recent_parts["e1"] = OrderedDict(list(parts.items())[:1])
-    context.sources.append(find_source(core.admissions, core.admission_context(), asked))
+    context.sources.append(find_memory_source(core.admissions, core.admission_context(), asked))
 
 
 @then("the source for a request is an engine of its own pool, or none")
