--- a/packages/core/src/myrtlehook_core/__init__.py
+++ b/packages/core/src/myrtlehook_core/__init__.py
@@ -1,6 +1,6 @@
-"""Decision core of myrtlehook: the public surface, re-exported in one place.
+"""The decision core of myrtlehook; this module re-exports its public API.
 
-Everything below this package is private; import from here.
+The modules below this package are private; import from here.
 """
 
 from importlib import import_module
@@ -102,7 +102,7 @@
     )
     from myrtlehook_core.version.validation import parse_document, validate_content
 
-_LATE_MODULES = {
+_LAZY_MODULES = {
     "process.settings": (
         "LimitSettings",
         "ListenSettings",
@@ -126,12 +126,12 @@
     ),
     "version.validation": ("parse_document", "validate_content"),
 }
-"""Names that are imported when they are first used: a router on the users' platform has no
-use for them, and their models are a third of what it would import."""
+"""Names that are imported on first use: a router on the users' platform does not need them,
+and their models would be a third of all that it imports."""
 
 
 def __getattr__(name: str) -> Any:
-    for module, names in _LATE_MODULES.items():
+    for module, names in _LAZY_MODULES.items():
         if name in names:
             return getattr(import_module(f"{__name__}.{module}"), name)
     raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
--- a/packages/core/src/myrtlehook_core/process/__init__.py
+++ b/packages/core/src/myrtlehook_core/process/__init__.py
@@ -1,1 +1,1 @@
-"""What lives as long as the router process: membership, leases, ledgers, the core itself."""
+"""State with the lifetime of the router process: membership, leases, ledgers, the core itself."""
--- a/packages/core/src/myrtlehook_core/process/accountants.py
+++ b/packages/core/src/myrtlehook_core/process/accountants.py
@@ -6,7 +6,7 @@
 
 from dataclasses import dataclass, field
 
-from myrtlehook_core.process.actions import ShareLevelNoted
+from myrtlehook_core.process.actions import ShareLevelReported
 from myrtlehook_core.process.admission_messages import DemandReport, DemandRow, ShareLevel
 
 REPORT_LEASE_S = 1.0
@@ -86,13 +86,13 @@
 
 def describe_level(
     account: PoolAccount, level: ShareLevel, configured_tokens: float, now_s: float
-) -> ShareLevelNoted | None:
+) -> ShareLevelReported | None:
     """Return the log notice of a level; None if no level applies or none is due yet."""
     if level.level_tokens == UNLIMITED or now_s < account.next_notice_s:
         return None
     account.next_notice_s = now_s + LEVEL_NOTICE_INTERVAL_S
     largest = sorted(level.rows, key=lambda row: row.asked_tokens, reverse=True)
-    return ShareLevelNoted(
+    return ShareLevelReported(
         pool=level.pool,
         level_tokens=level.level_tokens,
         configured_tokens=configured_tokens,
--- a/packages/core/src/myrtlehook_core/process/actions.py
+++ b/packages/core/src/myrtlehook_core/process/actions.py
@@ -1,4 +1,7 @@
-"""What the core asks of the shell."""
+"""Actions: what the core asks the process around it (the shell) to do or to log.
+
+Times that end in ``_s`` and name a moment are seconds of the router's monotonic clock.
+"""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
@@ -14,21 +17,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Dispatch:
-    """Send this request to this backend server, unless the lease has passed by then."""
+    """Send a request to a backend server, unless the lease has expired by then."""
 
     request_id: str
     backend_server: str
     attempt: int
     priority_units: float
-    """Virtual service; the engine serves the lowest first."""
+    """Virtual service of the workspace; the engine serves the lowest value first."""
     lease_deadline_s: float
     memory_source: str = ""
-    """Another backend server, from which this one takes what that keeps of the prompt."""
+    """Another backend server, from whose cache this one fetches a prefix of the prompt."""
 
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Give this request its final answer now: it was not run."""
+    """Answer a request with a refusal now: it was not run and will not be."""
 
     request_id: str
     reason: RefusalReason
@@ -37,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Send a message to a router; it may be lost."""
+    """Send a message to another router; delivery is not guaranteed."""
 
     router_id: str
     address: str
@@ -46,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RenewLink:
-    """Open the connection to a router anew: the present one may have gone silent for good."""
+    """Reconnect to a router, as the present connection may have failed without an error."""
 
     router_id: str
     address: str
@@ -54,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PollLoad:
-    """Ask a backend server for its load report."""
+    """Fetch a backend server's load report."""
 
     backend_server: str
     address: str
@@ -62,12 +65,13 @@
 
 @dataclass(frozen=True, slots=True)
 class SendOrder:
-    """Order a backend server to run something, fenced with a configuration number."""
+    """Order a backend server to run a model in a role, with a fencing token."""
 
     backend_server: str
     address: str
     order: ServerOrder
     fence: int
+    """The fencing token: the number of the configuration that the order comes from."""
     server_checks_fence: bool
 
 
@@ -81,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationChanged:
-    """A configuration is in force from now on."""
+    """A new configuration is active."""
 
     configuration: Configuration
     source: str
@@ -89,20 +93,20 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendServersChanged:
-    """Discovery's list of backend servers is another one from now on."""
+    """The list of backend servers from discovery has changed."""
 
     servers: tuple[str, ...]
     leaving: tuple[str, ...]
-    order: SourceOrder
-    """Of the source."""
+    source_order: SourceOrder
+    """The version of the list at the source."""
     source: str
-    """The platform, or the router that told of it."""
+    """The platform, or the router that sent the list."""
     evacuated_zones: tuple[str, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class ColdEngineNoted:
-    """An engine is held to be cold, as news, its entry or its own answers show."""
+class ColdEngineDetected:
+    """An engine is considered cold until a given time, by its discovery entry or its responses."""
 
     backend_server: str
     until_s: float
@@ -110,38 +114,39 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServerLeavingNoted:
-    """A backend server leaves, as its own answer or another router has told."""
+class ServerLeavingReported:
+    """A backend server is leaving, according to one of its own responses or another router."""
 
     backend_server: str
     source: str
-    """``answer``, or the router that told of it."""
+    """``answer`` for a response of the server, else the id of the router that reported it."""
     request_id: str = ""
-    """The request whose answer said so."""
+    """The request whose response said so, if any."""
 
 
 @dataclass(frozen=True, slots=True)
-class ServerBackoffNoted:
-    """A backend server wants nothing of this router for a time."""
+class ServerBackoffReported:
+    """A backend server has asked this router to back off until a given time."""
 
     backend_server: str
     until_s: float
     request_id: str
-    """The request whose answer said so."""
+    """The request whose response said so."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReadSource:
-    """Read the source from now on, or leave that to other routers."""
+    """Start reading the source, or stop and rely on other routers to read it."""
 
     wanted: bool
+    """Whether this router is to read the source."""
     readers_before: tuple[str, ...]
-    """Routers that read it and come before this one."""
+    """The routers that read the source and precede this one in the order of readers."""
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationRejected:
-    """A published configuration was kept out; the old one stays in force."""
+    """A published configuration is invalid and was rejected; the previous one stays active."""
 
     number: int
     findings: tuple[Finding, ...]
@@ -149,94 +154,98 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmissionDecided:
-    """An engine's owner has granted or refused a request; with what it knew then."""
+    """This router, as an engine's owner, granted or refused a request, given the state below."""
 
     request_id: str
     backend_server: str
     waited_s: float
-    """Since this owner was asked."""
+    """Time since this owner received the request for admission."""
     unread_tokens: int
-    """What the engine is expected to read for the request."""
+    """The tokens of its prompt that the engine is expected to read, as it has not cached them."""
     backlog_tokens: float
-    """What it has still to read of earlier grants."""
+    """The prompt tokens of earlier grants that the engine has yet to read."""
     window_tokens: float
-    """Up to which it is given more."""
+    """The engine is granted more requests while its backlog is below this."""
     waiting_requests: int
     granted_requests: int
     tier: int
     above_share: bool
     asked_tokens: int
-    """The request's size as shares count it."""
+    """The request's size as counted against its workspace's share."""
     estimate: EngineEstimate
     retry_after_ms: int | None
-    """None for a grant."""
+    """For a refusal, the time until the request would have fitted; None for a grant."""
 
 
 @dataclass(frozen=True, slots=True)
-class ShareLevelNoted:
-    """A pool's accountant holds workspaces to a level; told once a second while it does."""
+class ShareLevelReported:
+    """The share level to which a pool's accountant limits workspaces.
+
+    It is reported at most once a second, while there is a level.
+    """
 
     pool: str
     level_tokens: int
-    """Within one window of the shares, as all figures here."""
+    """Tokens within one share window, like all token counts here."""
     configured_tokens: float
-    """What the configuration says that the engines produce."""
+    """The engines' capacity according to the configuration."""
     shared_tokens: float
-    """What is shared out: no more than that, nor much more than engines have taken lately."""
+    """The capacity that is divided among workspaces, estimated from what engines took lately and
+    from what is configured."""
     asked_tokens: int
-    """By all workspaces."""
+    """Demand of all workspaces."""
     refused_tokens: int
-    """Of that, what no engine took."""
+    """The part of the demand that no engine accepted."""
     reports: int
-    """Routers or collectors that this rests on."""
+    """The number of routers or collectors whose reports are counted."""
     above: tuple[DemandRow, ...]
-    """The workspaces that ask for the most above the level."""
+    """The workspaces with the largest demand above the level, largest first."""
 
 
 @dataclass(frozen=True, slots=True)
-class MemberNoted:
-    """This router believes something else of a member from now on."""
+class MemberStateChanged:
+    """This router's view of another member's state has changed."""
 
     change: MemberChange
 
 
 @dataclass(frozen=True, slots=True)
-class RetryNoted:
-    """A request that was not run is queued again."""
+class RequestRequeued:
+    """A request that was not run has been queued again."""
 
     request_id: str
     reason: RetryReason
 
 
 @dataclass(frozen=True, slots=True)
-class DropNoted:
-    """A message or a grant was dropped."""
+class MessageDropped:
+    """A message from another router was dropped, such as a stale bid or an unusable grant."""
 
     reason: DropReason
 
 
 @dataclass(frozen=True, slots=True)
 class ServerEjected:
-    """A backend server failed again and again, and gets nothing until then."""
+    """A backend server failed several times in a row, and gets no requests until a given time."""
 
     backend_server: str
     until_s: float
 
 
 class QuarantineCause(StrEnum):
-    """What a changed belief in a request rests on."""
+    """Why a request was quarantined or released from quarantine."""
 
     COUNTED = "counted"
-    """This router has counted the ends of servers under it."""
+    """This router has counted the backend servers that ended while they ran the request."""
     TOLD = "told"
-    """Another router says so."""
+    """Another router reported it."""
     ENDED_WELL = "ended_well"
-    """The request was answered whole, here or elsewhere."""
+    """The request received a complete answer, here or through another router."""
 
 
 @dataclass(frozen=True, slots=True)
 class ServerEndCounted:
-    """This router, as a collector, has counted one more end of a server under a request."""
+    """This router, as a collector, counted one more server that ended while it ran a request."""
 
     fingerprint: bytes
     backend_server: str
@@ -244,21 +253,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class QuarantineNoted:
-    """A request is refused until then from now on, or again taken."""
+class QuarantineChanged:
+    """A request was quarantined until a given time, or released from quarantine."""
 
     fingerprint: bytes
     ends: int
-    """0 when it is taken again."""
+    """The servers that ended while they ran it; 0 if the request was released."""
     held_until_s: float
     cause: QuarantineCause
 
 
 @dataclass(frozen=True, slots=True)
-class PauseNoticed:
-    """The process was paused this long and has dropped what it believed."""
+class PauseDetected:
+    """The process was paused, and has dropped state that may be out of date."""
 
     late_s: float
+    """Time from the last tick before the pause to the first event after it."""
 
 
 Action = (
@@ -272,25 +282,25 @@
     | ConfigurationChanged
     | ConfigurationRejected
     | BackendServersChanged
-    | ColdEngineNoted
-    | ServerLeavingNoted
-    | ServerBackoffNoted
+    | ColdEngineDetected
+    | ServerLeavingReported
+    | ServerBackoffReported
     | ReadSource
     | AdmissionDecided
-    | ShareLevelNoted
-    | MemberNoted
-    | RetryNoted
-    | DropNoted
+    | ShareLevelReported
+    | MemberStateChanged
+    | RequestRequeued
+    | MessageDropped
     | ServerEjected
     | ServerEndCounted
-    | QuarantineNoted
-    | PauseNoticed
+    | QuarantineChanged
+    | PauseDetected
 )
 
 
 @dataclass(slots=True)
-class Outbox:
-    """Collects the actions of one event, in order."""
+class ActionList:
+    """The actions of one event, in order."""
 
     actions: list[Action] = field(default_factory=list)
 
--- a/packages/core/src/myrtlehook_core/process/admissions.py
+++ b/packages/core/src/myrtlehook_core/process/admissions.py
@@ -5,7 +5,7 @@
 router becomes the engine's owner, it is sent there.
 """
 
-from myrtlehook_core.process.actions import Dispatch, DropNoted, RetryNoted
+from myrtlehook_core.process.actions import Dispatch, MessageDropped, RequestRequeued
 from myrtlehook_core.process.admission_ends import refuse_admission
 from myrtlehook_core.process.admission_handover import record_estimate, record_sent_parts
 from myrtlehook_core.process.admission_messages import (
@@ -158,7 +158,7 @@
     elif not is_usable_engine(context, grant.backend_server):
         # Check the engine once more before dispatch: it may have reported a back-off to this
         # router that its owner has not received.
-        context.entry_context.actions.add(DropNoted(DropReason.GRANT_CLOSED))
+        context.entry_context.actions.add(MessageDropped(DropReason.GRANT_CLOSED))
         _withdraw_and_ask_next(admissions, context, admission, now_s)
     else:
         _dispatch(admissions, context, admission, grant.unread_tokens, now_s)
@@ -234,7 +234,7 @@
     admission.hop = 0
     update_queue_counts(entry, admission.request, 1)
     if claim_retry(entry, context.entry_context, admission.request, reason, now_s):
-        context.entry_context.actions.add(RetryNoted(request_id, reason))
+        context.entry_context.actions.add(RequestRequeued(request_id, reason))
         ask_next_engine(admissions, context, admission, now_s)
         return True
     refusal = choose_last_refusal(context.entry_context, admission.request, now_s)
--- a/packages/core/src/myrtlehook_core/process/bidding.py
+++ b/packages/core/src/myrtlehook_core/process/bidding.py
@@ -268,7 +268,7 @@
         row_id=account.row_id,
         sequence=account.report_sequence,
         served_units=round(account.served_units),
-        waiting=int(_update_waiting_state(account, waiting, options, now_s)),
+        waiting_state=int(_update_waiting_state(account, waiting, options, now_s)),
         known_total_units=NO_TOTAL if total is None else round(total.total_units),
     )
     return row, waiting
--- a/packages/core/src/myrtlehook_core/process/bids.py
+++ b/packages/core/src/myrtlehook_core/process/bids.py
@@ -51,7 +51,7 @@
         return False
     workspace_bids = {row.workspace: _make_workspace_bid(row) for row in bid.rows}
     bids.routers[sender] = RouterBid(
-        bid.sent_at_s, deadline_s, workspace_bids, frozenset(bid.barred_servers)
+        bid.sent_at_s, deadline_s, workspace_bids, frozenset(bid.excluded_servers)
     )
     return True
 
--- a/packages/core/src/myrtlehook_core/process/cold_handlers.py
+++ b/packages/core/src/myrtlehook_core/process/cold_handlers.py
@@ -2,7 +2,7 @@
 
 from typing import TYPE_CHECKING
 
-from myrtlehook_core.process.actions import ColdEngineNoted
+from myrtlehook_core.process.actions import ColdEngineDetected
 from myrtlehook_core.process.cold_engines import mark_cold, update_cold_engines
 
 if TYPE_CHECKING:
@@ -11,10 +11,12 @@
 
 def mark_cold_engines(core: "RouterCore", now_s: float) -> None:
     """Mark the engines as cold that a new list of backend servers shows to be cold."""
-    if core.configuration is core.cold.last_configuration:
+    if core.configuration is core.cold_engines.last_configuration:
         return
     zones = core.discovery.evacuated_zones
-    for change in update_cold_engines(core.cold, core.configuration, zones, now_s):
-        load = core.queues.loads.get(change.backend_server)
+    for change in update_cold_engines(core.cold_engines, core.configuration, zones, now_s):
+        load = core.engine_queues.loads.get(change.backend_server)
         if load is not None and mark_cold(load.pace, change.until_s, now_s):
-            core.out.add(ColdEngineNoted(change.backend_server, change.until_s, change.reason))
+            core.actions.add(
+                ColdEngineDetected(change.backend_server, change.until_s, change.reason)
+            )
--- a/packages/core/src/myrtlehook_core/process/engine_decisions.py
+++ b/packages/core/src/myrtlehook_core/process/engine_decisions.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from myrtlehook_core.process.actions import AdmissionDecided, Outbox
+from myrtlehook_core.process.actions import ActionList, AdmissionDecided
 from myrtlehook_core.process.admission_messages import AdmissionGrant, AdmissionRefusal
 from myrtlehook_core.process.aim_demands import SHORTER_AIM_FRACTION, find_shortest_aim_s
 from myrtlehook_core.process.cold_engines import find_next_grant_s, is_cold, record_grant
@@ -53,7 +53,7 @@
     options: CoreOptions
     configuration: Configuration
     reachable: Callable[[str], bool]
-    out: Outbox
+    out: ActionList
     post: MessageOutbox
 
 
--- a/packages/core/src/myrtlehook_core/process/engine_queues.py
+++ b/packages/core/src/myrtlehook_core/process/engine_queues.py
@@ -7,7 +7,7 @@
 import math
 from collections.abc import Mapping
 
-from myrtlehook_core.process.actions import ColdEngineNoted, ServerEjected
+from myrtlehook_core.process.actions import ColdEngineDetected, ServerEjected
 from myrtlehook_core.process.admission_messages import (
     AdmissionGrant,
     AdmissionProgress,
@@ -199,7 +199,7 @@
     load.last_answer_at_s = now_s
     until_s = now_s + load.pace.default_cold_s
     if reason and mark_cold(load.pace, until_s, now_s):
-        context.out.add(ColdEngineNoted(name, until_s, reason))
+        context.out.add(ColdEngineDetected(name, until_s, reason))
 
 
 def _find_similar_estimate(
--- a/packages/core/src/myrtlehook_core/process/event_handlers.py
+++ b/packages/core/src/myrtlehook_core/process/event_handlers.py
@@ -1,4 +1,4 @@
-"""What the core does on each event: plain functions, paired with their types below."""
+"""The core's handlers of events; the table at the end maps each event type to its handler."""
 
 import math
 from collections.abc import Callable
@@ -91,10 +91,10 @@
     from myrtlehook_core.process.routers import RouterCore
 
 SWEEP_INTERVAL_S = 0.25
-"""How often queues are searched for requests that cannot be run in time."""
+"""How often requests that cannot run in time are refused, and expired state is dropped."""
 
-BID_AFTER_REPORT_S = 0.01
-"""Bids follow reports by this much, so that they carry the totals of the answers."""
+BID_DELAY_AFTER_REPORT_S = 0.01
+"""Delay of bids after service reports, so that the bids use the totals of the ledgers' replies."""
 
 
 def _on_request(core: "RouterCore", event: events.RequestArrived, now_s: float) -> None:
@@ -108,12 +108,13 @@
         return
     entry.unreported_keys.discard(key)
     if core.options.exchange_totals:
-        # The ledger lifts a workspace that returns from idle before it is served.
-        send_reports(entry, core.placement, core.options, core.draw, core.post, {key}, now_s)
+        # Reported at once, so that the ledger raises the total of a workspace that was idle to
+        # the floor before it is served.
+        send_reports(entry, core.placement, core.options, core.draw, core.outbox, {key}, now_s)
     context = core.owner_context()
     free = count_free_in_pool(core.owner, context, key.pool, now_s)
     preferred = core.identity.router_id if free > 0 else None
-    send_first_bid(entry, core.placement, event.request, preferred, core.draw, core.post, now_s)
+    send_first_bid(entry, core.placement, event.request, preferred, core.draw, core.outbox, now_s)
 
 
 def _on_abandoned(core: "RouterCore", event: events.RequestAbandoned, now_s: float) -> None:
@@ -129,7 +130,7 @@
 
 def _on_ended(core: "RouterCore", event: events.RunEnded, now_s: float) -> None:
     context = core.admission_context()
-    request = _find_running(core, event.request_id)
+    request = _find_running_request(core, event.request_id)
     if event.completed and request is not None:
         note_completed(core, request, now_s)
     if end_admission(core.admissions, context, event, now_s):
@@ -138,7 +139,7 @@
     _send_release(core, ended)
 
 
-def _find_running(core: "RouterCore", request_id: str) -> RequestSpecification | None:
+def _find_running_request(core: "RouterCore", request_id: str) -> RequestSpecification | None:
     admission = core.admissions.open.get(request_id)
     if admission is not None:
         return admission.request
@@ -156,18 +157,18 @@
 
 
 def _on_message(core: "RouterCore", event: events.MessageReceived, now_s: float) -> None:
-    core.take_message(event.sender, event.message, now_s)
+    core.handle_message(event.sender, event.message, now_s)
 
 
 def _on_load(core: "RouterCore", event: events.LoadReported, now_s: float) -> None:
-    note_incarnation(core.leaving, event.backend_server, event.incarnation)
+    note_incarnation(core.leaving_servers, event.backend_server, event.incarnation)
     if event.leaving:
         row = LeavingRow(event.backend_server, event.incarnation)
-        note_leaving(core.leaving, row, count_news(core.table))
+        note_leaving(core.leaving_servers, row, count_news(core.table))
     receive_load(core.owner, core.owner_context(), event, now_s)
     order = find_order(core.configuration, event)
     if order is not None and event.backend_server in core.owner.servers:
-        core.out.add(order)
+        core.actions.add(order)
 
 
 def _on_vm_list(core: "RouterCore", event: events.VmListRead, now_s: float) -> None:
@@ -176,13 +177,13 @@
         member.listed = member.router_id in listed
     for vm in event.vms:
         add_candidate(core.table, vm.vm, vm.address, now_s)
-        member_or_none = core.table.members.get(vm.vm)
-        if member_or_none is None or vm.state != "leaving":
+        listed_member = core.table.members.get(vm.vm)
+        if listed_member is None or vm.state != "leaving":
             continue
-        if member_or_none.state in (MemberState.ALIVE, MemberState.SUSPECT):
+        if listed_member.state in (MemberState.ALIVE, MemberState.SUSPECT):
             change_state(
                 core.table,
-                member_or_none,
+                listed_member,
                 MemberState.LEAVING,
                 StateCause.LISTED,
                 now_s,
@@ -212,7 +213,7 @@
 
 
 def _on_grants_due(core: "RouterCore", event: events.GrantsDue, now_s: float) -> None:
-    grant_due(core.queues, core.queue_context(), now_s)
+    grant_due(core.engine_queues, core.queue_context(), now_s)
 
 
 def _on_tick(core: "RouterCore", event: events.Tick, now_s: float) -> None:
@@ -220,29 +221,29 @@
     tick_prober(core.prober, core.probe_context(), now_s)
     tick_source(core, now_s)
     tick_owner(core.owner, core.owner_context(), now_s)
-    tick_queues(core.queues, core.queue_context(), now_s)
+    tick_queues(core.engine_queues, core.queue_context(), now_s)
     tick_admissions(core.admissions, core.admission_context(), now_s)
     if now_s >= core.shares.next_report_s:
         core.shares.next_report_s = now_s + core.options.demand_interval_s
         near = core.placement.zones.get(core.identity.availability_zone, ())
         reporters = Reporters(core.identity.router_id, core.placement.eligible, near)
-        send_demand_reports(core.shares, reporters, core.options.quota_window_s, core.post, now_s)
-        send_zone_reports(core.shares, reporters, core.post, now_s)
+        send_demand_reports(core.shares, reporters, core.options.quota_window_s, core.outbox, now_s)
+        send_zone_reports(core.shares, reporters, core.outbox, now_s)
     entry = core.entry
     if now_s >= entry.next_refresh_s:
         entry.next_refresh_s = now_s + core.options.refresh_interval_s
-        entry.next_bid_s = now_s + BID_AFTER_REPORT_S
-        _report(core, now_s)
+        entry.next_bid_s = now_s + BID_DELAY_AFTER_REPORT_S
+        _send_service_reports(core, now_s)
     if now_s >= entry.next_bid_s:
         entry.next_bid_s = math.inf
-        repeat_releases(entry, core.placement, core.post)
-        send_bids(entry, core.placement, core.options, core.post, now_s)
+        repeat_releases(entry, core.placement, core.outbox)
+        send_bids(entry, core.placement, core.options, core.outbox, now_s)
     if now_s >= entry.next_hold_s:
         entry.next_hold_s = now_s + core.options.hold_interval_s
-        send_hold_summaries(entry, core.placement, core.post)
+        send_hold_summaries(entry, core.placement, core.outbox)
     if now_s >= entry.next_sweep_s:
         entry.next_sweep_s = now_s + SWEEP_INTERVAL_S
-        _sweep(core, now_s)
+        _clean_up(core, now_s)
 
 
 def _send_release(core: "RouterCore", ended: tuple[RunningRequest, Release] | None) -> None:
@@ -251,30 +252,30 @@
     running, release = ended
     owner = core.placement.server_owners.get(running.backend_server)
     if owner is not None:
-        core.post.add(owner, release)
+        core.outbox.add(owner, release)
 
 
-def _report(core: "RouterCore", now_s: float) -> None:
+def _send_service_reports(core: "RouterCore", now_s: float) -> None:
     if core.options.exchange_totals:
         pools = core.configuration.pools
-        # Shares of pools that are admitted to by tokens come from their accountants.
-        by_tokens = {name for name, pool in pools.items() if pool.engine is not None}
-        keys = {key for key in find_keys_to_report(core.entry) if key.pool not in by_tokens}
-        send_reports(core.entry, core.placement, core.options, core.draw, core.post, keys, now_s)
+        # Accountants compute the shares of pools whose admission counts tokens.
+        token_pools = {name for name, pool in pools.items() if pool.engine is not None}
+        keys = {key for key in find_keys_to_report(core.entry) if key.pool not in token_pools}
+        send_reports(core.entry, core.placement, core.options, core.draw, core.outbox, keys, now_s)
 
 
-def _sweep(core: "RouterCore", now_s: float) -> None:
+def _clean_up(core: "RouterCore", now_s: float) -> None:
     refuse_unservable(core.entry, core.entry_context(), now_s)
     drop_idle_queues(core.entry, now_s, core.options.idle_drop_s)
     drop_idle_accounts(core.ledger, now_s, core.options)
     forget_old(core.quarantine, now_s)
-    forget_left(core.leaving, core.configuration.backend_servers, now_s)
+    forget_left(core.leaving_servers, core.configuration.backend_servers, now_s)
     drop_ended_backoffs(core.entry.backoffs, now_s)
     repeat_sound_reports(core, now_s)
     sweep_source(core, now_s)
 
 
-# Typed per handler by its own signature; the table only pairs each type with its handler.
+# The event parameter is `Any` here because each handler takes its own event type.
 EVENT_HANDLERS: dict[type, Callable[["RouterCore", Any, float], None]] = {
     events.RequestArrived: _on_request,
     events.RequestAbandoned: _on_abandoned,
--- a/packages/core/src/myrtlehook_core/process/events.py
+++ b/packages/core/src/myrtlehook_core/process/events.py
@@ -1,4 +1,7 @@
-"""What the shell tells the core. Times are seconds of the router's monotonic clock."""
+"""Events: what the process around the core (the shell) reports to it.
+
+Times are seconds of the router's monotonic clock.
+"""
 
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
@@ -16,23 +19,23 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestArrived:
-    """A checked request wants a slot."""
+    """A request has passed the checks at the ingress and needs a slot or an engine."""
 
     request: RequestSpecification
     intake: ShareStanding | None = None
-    """How it stands to its workspace's share; None while it is not counted there."""
+    """How it relates to its workspace's share; None if it has not been counted there yet."""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestAbandoned:
-    """The caller of a request that waits has gone."""
+    """The client of a waiting request has disconnected."""
 
     request_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceObserved:
-    """A running request has consumed this much so far, in service units."""
+    """The service that a running request has consumed so far, in service units."""
 
     request_id: str
     observed_units: float
@@ -40,21 +43,21 @@
 
 @dataclass(frozen=True, slots=True)
 class RunEnded:
-    """A dispatched request has ended, well or badly, with this cost in service units."""
+    """A dispatched request has ended, successfully or not, at a cost in service units."""
 
     request_id: str
     cost_units: float
     failed: bool = False
-    """The server broke off or answered that it failed."""
+    """The server broke off its response, or responded with a failure."""
     completed: bool = False
-    """Its answer came whole, whatever it says: the server has outlived the request."""
+    """The response arrived in full, whatever it says, so the request did not end the server."""
 
 
 @dataclass(frozen=True, slots=True)
 class ServerEndedInRun:
-    """A backend server's process has surely ended while it ran a request.
+    """A backend server's process certainly ended while it ran a request.
 
-    A connection that broke is not enough; nor is the end of a server that was leaving.
+    A broken connection is not sufficient evidence, and the end of a leaving server is not counted.
     """
 
     fingerprint: bytes
@@ -63,24 +66,24 @@
     began_s: float
     """When the request was sent there."""
     ended_s: float
-    """When its answer broke off."""
+    """When its response broke off."""
 
 
 @dataclass(frozen=True, slots=True)
 class ServerNoticed:
-    """A backend server has said something of itself in the head of an answer."""
+    """A backend server has reported its own state in the headers of a response."""
 
     backend_server: str
     request_id: str
-    """Of the request that it answered."""
+    """The request that the response belongs to."""
     leaving: bool = False
     backoff_until_s: float = 0.0
-    """Until then it wants nothing of this router; 0 where it did not say."""
+    """The end of the back-off that it asks this router for; 0 if it asks for none."""
 
 
 @dataclass(frozen=True, slots=True)
 class RunNotStarted:
-    """A dispatched request certainly was not run."""
+    """A dispatched request was certainly not run, so it is safe to retry."""
 
     request_id: str
     reason: RetryReason
@@ -97,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReported:
-    """A backend server's own, late report of its load."""
+    """A backend server's report of its own load, which lags behind the actual load."""
 
     backend_server: str
     incarnation: int
@@ -111,21 +114,21 @@
 
 @dataclass(frozen=True, slots=True)
 class VmListRead:
-    """The platform's list of router VMs, possibly old."""
+    """The platform's list of router VMs; it may be out of date."""
 
     vms: "tuple[VmDocument, ...]"
 
 
 @dataclass(frozen=True, slots=True)
 class ManifestRead:
-    """The platform's manifest, possibly old."""
+    """The platform's manifest; it may be out of date."""
 
     text: str
 
 
 @dataclass(frozen=True, slots=True)
 class PartRead:
-    """A configuration part that was asked for."""
+    """A configuration part that a ``FetchPart`` action asked for."""
 
     digest: str
     text: str
@@ -133,27 +136,27 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationRead:
-    """A whole configuration as its source publishes it, possibly old."""
+    """A complete configuration as its source publishes it; it may be out of date."""
 
     text: str
 
 
 @dataclass(frozen=True, slots=True)
 class BackendServersRead:
-    """The whole list of backend servers from discovery."""
+    """The complete list of backend servers from discovery."""
 
     servers: tuple[BackendServer, ...]
     after_outage: bool
-    """The first list after the source could not be read or had lost its history."""
-    order: SourceOrder = NO_ORDER
-    """Of the source; a list older than what is known changes nothing."""
+    """Whether this is the first list after the source was unreadable or lost its history."""
+    source_order: SourceOrder = NO_ORDER
+    """The version of the list at the source; a list older than the known one is ignored."""
     evacuated_zones: frozenset[str] = frozenset()
-    """Availability zones whose servers are to get nothing."""
+    """Availability zones whose servers must not get requests."""
 
 
 @dataclass(frozen=True, slots=True)
 class SourceAnswered:
-    """The source has just answered: what was read of it is as the source has it."""
+    """The source has just answered, so what was read from it is up to date."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -163,24 +166,24 @@
 
 @dataclass(frozen=True, slots=True)
 class SeedsNamed:
-    """Addresses of routers that may be alive, from changed settings."""
+    """Changed settings name addresses of routers that may be alive."""
 
     addresses: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class DrainStarted:
-    """This router is to stop once all that it holds has ended."""
+    """This router drains: it stops once all the requests that it holds have ended."""
 
 
 @dataclass(frozen=True, slots=True)
 class GrantsDue:
-    """The time has come that the core gave as its next grant's."""
+    """The time that the core returned for its next grant has come."""
 
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Time has passed."""
+    """The periodic timer has fired."""
 
 
 Event = (
--- a/packages/core/src/myrtlehook_core/process/ingress.py
+++ b/packages/core/src/myrtlehook_core/process/ingress.py
@@ -7,7 +7,7 @@
 import math
 from dataclasses import dataclass, field
 
-from myrtlehook_core.process.actions import Outbox
+from myrtlehook_core.process.actions import ActionList
 from myrtlehook_core.process.backoffs import Backoffs
 from myrtlehook_core.process.choosers import Draw
 from myrtlehook_core.process.messages import BidRow, Release, TotalRow
@@ -90,7 +90,7 @@
     configuration: Configuration
     draining: bool
     draw: Draw
-    actions: Outbox
+    actions: ActionList
     outbox: MessageOutbox
     quarantine: Quarantine
 
--- a/packages/core/src/myrtlehook_core/process/ledgers.py
+++ b/packages/core/src/myrtlehook_core/process/ledgers.py
@@ -181,11 +181,11 @@
 def _update_activity(
     account: LedgerAccount, floor_units: int, row: ReportRow, now_s: float, options: CoreOptions
 ) -> None:
-    if row.waiting == WaitingState.NOTHING:
+    if row.waiting_state == WaitingState.NOTHING:
         return
     # STEADY: the workspace has waited all along, and a network partition may have kept its reports
     # from this ledger.
-    was_idle = now_s > account.active_until_s and row.waiting == WaitingState.RETURNED
+    was_idle = now_s > account.active_until_s and row.waiting_state == WaitingState.RETURNED
     account.active_until_s = now_s + options.idle_grace_s
     if was_idle:
         account.lift_units += max(0.0, floor_units - compute_total_units(account))
--- a/packages/core/src/myrtlehook_core/process/message_handlers.py
+++ b/packages/core/src/myrtlehook_core/process/message_handlers.py
@@ -1,11 +1,11 @@
-"""What the core does on each message from another router, paired with its type below."""
+"""The core's handlers of messages between routers; the table at the end maps types to handlers."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
 from myrtlehook_core.process.accountants import describe_level, record_demand
 from myrtlehook_core.process.actions import (
-    DropNoted,
+    MessageDropped,
 )
 from myrtlehook_core.process.admission_messages import (
     AdmissionGrant,
@@ -97,82 +97,89 @@
     from myrtlehook_core.process.routers import RouterCore
 
 
-def _take_bid(core: "RouterCore", sender: str, message: Bid, now_s: float) -> None:
+def _handle_bid(core: "RouterCore", sender: str, message: Bid, now_s: float) -> None:
     if not receive_bid(core.owner, core.owner_context(), sender, message, now_s):
-        core.out.add(DropNoted(DropReason.STALE_MESSAGE))
+        core.actions.add(MessageDropped(DropReason.STALE_MESSAGE))
 
 
-def _take_early_charge(core: "RouterCore", sender: str, message: EarlyCharge, now_s: float) -> None:
+def _handle_early_charge(
+    core: "RouterCore", sender: str, message: EarlyCharge, now_s: float
+) -> None:
     receive_early_charge(core.owner, core.owner_context(), message, now_s)
 
 
-def _take_grant(core: "RouterCore", sender: str, message: Grant, now_s: float) -> None:
-    hungry = apply_grant(core.entry, core.entry_context(), sender, message, now_s)
-    if hungry:
-        send_bid(core.entry, message.pool, sender, core.post, now_s)
+def _handle_grant(core: "RouterCore", sender: str, message: Grant, now_s: float) -> None:
+    bid_again = apply_grant(core.entry, core.entry_context(), sender, message, now_s)
+    if bid_again:
+        send_bid(core.entry, message.pool, sender, core.outbox, now_s)
 
 
-def _take_release(core: "RouterCore", sender: str, message: Release, now_s: float) -> None:
+def _handle_release(core: "RouterCore", sender: str, message: Release, now_s: float) -> None:
     receive_release(core.owner, core.owner_context(), sender, message, now_s)
 
 
-def _take_hold_summary(core: "RouterCore", sender: str, message: HoldSummary, now_s: float) -> None:
+def _handle_hold_summary(
+    core: "RouterCore", sender: str, message: HoldSummary, now_s: float
+) -> None:
     receive_hold_summary(core.owner, core.owner_context(), sender, message, now_s)
 
 
-def _take_hold_query(core: "RouterCore", sender: str, message: HoldQuery, now_s: float) -> None:
-    send_hold_list(core.entry, message.backend_server, sender, core.post)
+def _handle_hold_query(core: "RouterCore", sender: str, message: HoldQuery, now_s: float) -> None:
+    send_hold_list(core.entry, message.backend_server, sender, core.outbox)
 
 
-def _take_hold_list(core: "RouterCore", sender: str, message: HoldList, now_s: float) -> None:
+def _handle_hold_list(core: "RouterCore", sender: str, message: HoldList, now_s: float) -> None:
     receive_hold_list(core.owner, core.owner_context(), sender, message, now_s)
 
 
-def _take_report(core: "RouterCore", sender: str, message: Report, now_s: float) -> None:
-    rows = merge_report(core.ledger, sender, message, now_s, core.options, core.reachable)
+def _handle_report(core: "RouterCore", sender: str, message: Report, now_s: float) -> None:
+    rows = merge_report(core.ledger, sender, message, now_s, core.options, core.is_reachable)
     if message.wants_totals:
-        core.post.add(sender, Totals(rows))
+        core.outbox.add(sender, Totals(rows))
 
 
-def _take_totals(core: "RouterCore", sender: str, message: Totals, now_s: float) -> None:
+def _handle_totals(core: "RouterCore", sender: str, message: Totals, now_s: float) -> None:
     record_totals(core.entry, message.rows, now_s)
 
 
-def _take_probe(core: "RouterCore", sender: str, message: Probe, now_s: float) -> None:
+def _handle_probe(core: "RouterCore", sender: str, message: Probe, now_s: float) -> None:
     take_probe(core.probe_context(), sender, message, now_s)
     hear_source(core, sender, message.news, now_s)
     hear_quarantine(core, message.news, now_s)
 
 
-def _take_ack(core: "RouterCore", sender: str, message: Ack, now_s: float) -> None:
+def _handle_ack(core: "RouterCore", sender: str, message: Ack, now_s: float) -> None:
     take_ack(core.prober, core.probe_context(), sender, message, now_s)
     hear_source(core, sender, message.news, now_s)
     hear_quarantine(core, message.news, now_s)
 
 
-def _take_announcement(
+def _handle_announcement(
     core: "RouterCore", sender: str, message: Announcement, now_s: float
 ) -> None:
-    before = find_state(core.table, sender)
+    previous_state = find_state(core.table, sender)
     take_news(core.probe_context(), sender, message.news, now_s)
     hear_source(core, sender, message.news, now_s)
     relay_quarantine(core, sender, hear_quarantine(core, message.news, now_s))
-    if not core.is_near(sender) and find_state(core.table, sender) is not before:
-        # A router that stops tells only a few of this zone. All else rides on probes.
+    if not core.is_in_own_zone(sender) and find_state(core.table, sender) is not previous_state:
+        # A stopping router of another zone announces itself to only a few routers of this zone,
+        # which therefore pass the change on. Probes carry all other changes.
         announce_near(core.probe_context())
 
 
-def _take_indirect(core: "RouterCore", sender: str, message: IndirectProbe, now_s: float) -> None:
+def _handle_indirect_probe(
+    core: "RouterCore", sender: str, message: IndirectProbe, now_s: float
+) -> None:
     take_indirect_probe(core.prober, core.probe_context(), sender, message, now_s)
 
 
-def _take_members_query(
+def _handle_members_query(
     core: "RouterCore", sender: str, message: MembersQuery, now_s: float
 ) -> None:
     take_members_query(core.probe_context(), sender, message, now_s)
 
 
-def _take_members_reply(
+def _handle_members_reply(
     core: "RouterCore", sender: str, message: MembersReply, now_s: float
 ) -> None:
     take_news(core.probe_context(), sender, message.news, now_s)
@@ -180,16 +187,16 @@
     hear_quarantine(core, message.news, now_s)
 
 
-def _take_configuration_query(
+def _handle_configuration_query(
     core: "RouterCore", sender: str, message: ConfigurationQuery, now_s: float
 ) -> None:
     for digest in message.digests:
         text = core.exchange.texts.get(digest)
         if text is not None:
-            core.post.add(sender, ConfigurationReply(digest, text))
+            core.outbox.add(sender, ConfigurationReply(digest, text))
 
 
-def _take_configuration_reply(
+def _handle_configuration_reply(
     core: "RouterCore", sender: str, message: ConfigurationReply, now_s: float
 ) -> None:
     take_configuration(core, take_document(core.exchange, message.text, sender))
@@ -199,43 +206,45 @@
         query_documents(core, now_s)
 
 
-def _take_admission_request(
+def _handle_admission_request(
     core: "RouterCore", sender: str, message: AdmissionRequest, now_s: float
 ) -> None:
-    receive_request(core.queues, core.queue_context(), sender, message, now_s)
+    receive_request(core.engine_queues, core.queue_context(), sender, message, now_s)
 
 
-def _take_admission_grant(
+def _handle_admission_grant(
     core: "RouterCore", sender: str, message: AdmissionGrant, now_s: float
 ) -> None:
     handle_grant(core.admissions, core.admission_context(), sender, message, now_s)
 
 
-def _take_admission_refusal(
+def _handle_admission_refusal(
     core: "RouterCore", sender: str, message: AdmissionRefusal, now_s: float
 ) -> None:
     handle_refusal(core.admissions, core.admission_context(), message, now_s)
 
 
-def _take_admission_progress(
+def _handle_admission_progress(
     core: "RouterCore", sender: str, message: AdmissionProgress, now_s: float
 ) -> None:
-    receive_progress(core.queues, core.queue_context(), message, now_s)
+    receive_progress(core.engine_queues, core.queue_context(), message, now_s)
 
 
-def _take_admission_release(
+def _handle_admission_release(
     core: "RouterCore", sender: str, message: AdmissionRelease, now_s: float
 ) -> None:
-    receive_admission_release(core.queues, core.queue_context(), message, now_s)
+    receive_admission_release(core.engine_queues, core.queue_context(), message, now_s)
 
 
-def _take_held_admissions(
+def _handle_held_admissions(
     core: "RouterCore", sender: str, message: HeldAdmissions, now_s: float
 ) -> None:
-    apply_held_admissions(core.queues, core.queue_context(), sender, message, now_s)
+    apply_held_admissions(core.engine_queues, core.queue_context(), sender, message, now_s)
 
 
-def _take_demand(core: "RouterCore", sender: str, message: DemandReport, now_s: float) -> None:
+def _handle_demand_report(
+    core: "RouterCore", sender: str, message: DemandReport, now_s: float
+) -> None:
     limits = core.configuration.limits
     options = core.options
     if limits.tokens_per_s <= 0:
@@ -243,51 +252,51 @@
     if message.to_collector:
         level = record_zone_report(core.shares, sender, message, now_s)
         if level is not None:
-            core.post.add(sender, level)
+            core.outbox.add(sender, level)
         return
     configured_tokens = limits.tokens_per_s * options.quota_window_s * options.capacity_factor
     level = record_demand(core.shares.accounts, sender, message, configured_tokens, now_s)
-    core.post.add(sender, level)
+    core.outbox.add(sender, level)
     account = core.shares.accounts[message.pool]
-    told = describe_level(account, level, configured_tokens, now_s)
-    if told is not None:
-        core.out.add(told)
+    level_report = describe_level(account, level, configured_tokens, now_s)
+    if level_report is not None:
+        core.actions.add(level_report)
 
 
-def _take_level(core: "RouterCore", sender: str, message: ShareLevel, now_s: float) -> None:
+def _handle_share_level(core: "RouterCore", sender: str, message: ShareLevel, now_s: float) -> None:
     apply_level(core.shares, message, now_s)
 
 
-# Typed per handler by its own signature; the table only pairs each type with its handler.
+# The message parameter is `Any` here because each handler takes its own message type.
 MESSAGE_HANDLERS: dict[type, Callable[["RouterCore", str, Any, float], None]] = {
-    DemandReport: _take_demand,
-    ShareLevel: _take_level,
-    AdmissionRequest: _take_admission_request,
-    AdmissionGrant: _take_admission_grant,
-    AdmissionRefusal: _take_admission_refusal,
-    AdmissionProgress: _take_admission_progress,
-    AdmissionRelease: _take_admission_release,
-    HeldAdmissions: _take_held_admissions,
-    Announcement: _take_announcement,
+    DemandReport: _handle_demand_report,
+    ShareLevel: _handle_share_level,
+    AdmissionRequest: _handle_admission_request,
+    AdmissionGrant: _handle_admission_grant,
+    AdmissionRefusal: _handle_admission_refusal,
+    AdmissionProgress: _handle_admission_progress,
+    AdmissionRelease: _handle_admission_release,
+    HeldAdmissions: _handle_held_admissions,
+    Announcement: _handle_announcement,
     LeavingNotice: take_leaving_notice,
     ServersQuery: take_servers_query,
     ServersReply: take_servers_reply,
     ServerEndReport: take_end_report,
     SoundRunReport: take_sound_report,
-    EarlyCharge: _take_early_charge,
-    Bid: _take_bid,
-    Grant: _take_grant,
-    Release: _take_release,
-    HoldSummary: _take_hold_summary,
-    HoldQuery: _take_hold_query,
-    HoldList: _take_hold_list,
-    Report: _take_report,
-    Totals: _take_totals,
-    Probe: _take_probe,
-    Ack: _take_ack,
-    IndirectProbe: _take_indirect,
-    MembersQuery: _take_members_query,
-    MembersReply: _take_members_reply,
-    ConfigurationQuery: _take_configuration_query,
-    ConfigurationReply: _take_configuration_reply,
+    EarlyCharge: _handle_early_charge,
+    Bid: _handle_bid,
+    Grant: _handle_grant,
+    Release: _handle_release,
+    HoldSummary: _handle_hold_summary,
+    HoldQuery: _handle_hold_query,
+    HoldList: _handle_hold_list,
+    Report: _handle_report,
+    Totals: _handle_totals,
+    Probe: _handle_probe,
+    Ack: _handle_ack,
+    IndirectProbe: _handle_indirect_probe,
+    MembersQuery: _handle_members_query,
+    MembersReply: _handle_members_reply,
+    ConfigurationQuery: _handle_configuration_query,
+    ConfigurationReply: _handle_configuration_reply,
 }
--- a/packages/core/src/myrtlehook_core/process/messages.py
+++ b/packages/core/src/myrtlehook_core/process/messages.py
@@ -1,8 +1,9 @@
-"""Messages between routers: each may be lost, doubled, late or out of order.
+"""Messages between routers; each may be lost, duplicated, delayed or reordered.
 
-They are encoded as MessagePack arrays with a tag a type; the codec validates
-the types of all fields, so a decoded message is well formed. Service travels in
-whole units, which are short; a share is expected to be of the order of 1 to 100.
+They are encoded as MessagePack arrays with one tag per type. The codec validates
+the types of all fields, so a decoded message is well formed. Service is sent in
+whole units, as small integers encode in few bytes; shares are expected to be of the
+order of 1 to 100.
 """
 
 from enum import IntEnum
@@ -33,7 +34,7 @@
 
 
 class BidRow(msgspec.Struct, frozen=True, array_like=True):
-    """One workspace's waiting work at one router."""
+    """One workspace's waiting requests at one router."""
 
     workspace: str
     waiting_requests: int
@@ -42,14 +43,14 @@
 
 
 class Bid(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """All that waits at the sender for one pool; replaces its earlier bid."""
+    """All requests that wait at the sender for one pool; replaces the sender's earlier bid."""
 
     pool: str
     sent_at_s: float
-    """Sender's clock; comes back in a grant, so that no clocks are compared."""
+    """By the sender's clock. Grants return it, so that clocks of two routers are never compared."""
     rows: tuple[BidRow, ...]
-    barred_servers: tuple[str, ...] = ()
-    """Backend servers of the pool to which the sender sends nothing for now."""
+    excluded_servers: tuple[str, ...] = ()
+    """Backend servers of the pool that the sender sends no requests to at present."""
 
 
 class Grant(msgspec.Struct, frozen=True, array_like=True, tag=2):
@@ -61,19 +62,19 @@
     workspace: str
     bid_sent_at_s: float
     floor_units: int
-    """Lowest virtual service among the workspaces with work waiting, as the owner sees it."""
+    """Lowest virtual service among workspaces with waiting requests, as known to the owner."""
 
 
 class Release(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """The slot is free again; ``row`` says what still waits."""
+    """Returns a slot; ``bid_row`` has the workspace's remaining waiting requests."""
 
     grant_id: int
     backend_server: str
     used: bool
     bid_sent_at_s: float
-    row: BidRow
+    bid_row: BidRow
     failed: bool = False
-    """The server did not serve the request, or broke off."""
+    """The server did not serve the request, or broke off its response."""
 
 
 class HoldSummary(msgspec.Struct, frozen=True, array_like=True, tag=4):
@@ -84,7 +85,7 @@
 
 
 class HoldQuery(msgspec.Struct, frozen=True, array_like=True, tag=5):
-    """The owner's count differs; the holder answers with a list."""
+    """Asks a holder for the list of its slots, when its summary differs from the owner's count."""
 
     backend_server: str
 
@@ -97,45 +98,46 @@
 
 
 class HoldList(msgspec.Struct, frozen=True, array_like=True, tag=6):
-    """Every slot of one backend server that the sender holds."""
+    """All slots of one backend server that the sender holds."""
 
     backend_server: str
     rows: tuple[HoldRow, ...]
 
 
 class WaitingState(IntEnum):
-    """Whether a workspace has work waiting at the reporting router."""
+    """Whether and how long a workspace has had requests waiting at the reporting router."""
 
     NOTHING = 0
     RETURNED = 1
-    """It has come back from idle a short while ago, and may be lifted to the floor."""
+    """It was idle until shortly before, so a ledger may raise its total to the floor."""
     STEADY = 2
-    """It has waited for longer: a ledger that did not hear of it must not lift it."""
+    """It has waited for longer: a ledger that missed its reports must not raise its total."""
 
 
 class ReportRow(msgspec.Struct, frozen=True, array_like=True):
-    """What one router has served one workspace in one pool, cumulatively."""
+    """The cumulative service that one router has given one workspace in one pool."""
 
     workspace: str
     pool: str
     row_id: int
+    """Identifies the sender's account; an account that was dropped and reopened has a new one."""
     sequence: int
     served_units: int
-    waiting: int
+    waiting_state: int
     """A ``WaitingState``."""
     known_total_units: int
-    """The last total that the sender heard, for a ledger that is new; -1 if none."""
+    """The last total that the sender received, for a new ledger to start from; -1 if none."""
 
 
 class FloorRow(msgspec.Struct, frozen=True, array_like=True):
-    """The lowest virtual service among waiting workspaces of a pool."""
+    """The lowest virtual service among a pool's workspaces with waiting requests."""
 
     pool: str
     floor_units: int
 
 
 class Report(msgspec.Struct, frozen=True, array_like=True, tag=7):
-    """Service reports to a ledger."""
+    """A router's service report to a ledger."""
 
     wants_totals: bool
     floors: tuple[FloorRow, ...]
@@ -143,7 +145,7 @@
 
 
 class TotalRow(msgspec.Struct, frozen=True, array_like=True):
-    """A workspace's virtual service across the fleet, with the receiver's part of it."""
+    """A workspace's virtual service across the fleet, and the receiver's part of it."""
 
     workspace: str
     pool: str
@@ -153,7 +155,7 @@
 
 
 class Totals(msgspec.Struct, frozen=True, array_like=True, tag=8):
-    """A ledger's answer to a report."""
+    """A ledger's reply to a report."""
 
     rows: tuple[TotalRow, ...]
 
@@ -172,11 +174,11 @@
 
 
 class EarlyCharge(msgspec.Struct, frozen=True, array_like=True, tag=16):
-    """An owner tells the pool's other owners what it has just granted."""
+    """Announces a grant that the sender has just made to the pool's other owners."""
 
     pool: str
     workspace: str
-    virtual_units: float
+    virtual_service_units: float
 
 
 Message = (
@@ -214,7 +216,7 @@
 
 
 class Envelope(msgspec.Struct, frozen=True, array_like=True):
-    """What one router sends another at once."""
+    """The messages that one router sends to another in one transmission."""
 
     sender: str
     incarnation: int
@@ -222,7 +224,7 @@
 
 
 class EncodedEnvelope(msgspec.Struct, frozen=True, array_like=True):
-    """An envelope whose messages are encoded already, and counted one by one."""
+    """An envelope of messages that are already encoded, so that each one's size can be counted."""
 
     sender: str
     incarnation: int
@@ -234,18 +236,18 @@
 
 
 def encode_envelope(envelope: Envelope | EncodedEnvelope) -> bytes:
-    """Return the wire form of an envelope."""
+    """Encode an envelope for sending."""
     return _ENCODER.encode(envelope)
 
 
 def encode_message(message: Message) -> msgspec.Raw:
-    """Return the wire form of one message, to be put into an envelope."""
+    """Encode one message, to be put into an envelope."""
     return msgspec.Raw(_ENCODER.encode(message))
 
 
 def decode_envelope(content: bytes) -> Envelope:
-    """Read an envelope.
+    """Decode an envelope.
 
-    :raises msgspec.DecodeError: when the bytes are no valid envelope.
+    :raises msgspec.DecodeError: if the bytes are not a valid envelope.
     """
     return _DECODER.decode(content)
--- a/packages/core/src/myrtlehook_core/process/option_files.py
+++ b/packages/core/src/myrtlehook_core/process/option_files.py
@@ -1,7 +1,7 @@
-"""Reads options of the core from a file, for operators and for experiments.
+"""Applies option files to the core's options, for operators and for experiments.
 
-The file is JSON with comments and names fields of ``CoreOptions``; what it does not name
-keeps its value. It is checked field by field, so that every finding is told at once.
+An option file is JSON with comments, whose keys are fields of ``CoreOptions``; the other fields
+keep their values. All fields are checked, so that every finding is reported at once.
 """
 
 from dataclasses import fields, replace
@@ -17,25 +17,25 @@
 def change_options(
     options: CoreOptions, content: Any, source: str
 ) -> Result[CoreOptions, list[Finding]]:
-    """Return options with the named fields changed, or every finding.
+    """Return the options with the file's fields changed, or all findings.
 
     :param content: the decoded file.
-    :param source: the name that findings give as their place, usually a file name.
+    :param source: the place that findings name, usually the file name.
     """
     if not isinstance(content, dict):
         seen = make_excerpt(content)
-        return Err([Finding(source, seen, "a table of options", "name options there")])
-    kinds = {field.name: field.type for field in fields(options)}
+        return Err([Finding(source, seen, "a JSON object of options", "write options as its keys")])
+    types_by_name = {field.name: field.type for field in fields(options)}
     changes: dict[str, Any] = {}
     findings = []
     for name, value in content.items():
         place = f"{source}: {name}"
-        if name not in kinds:
+        if name not in types_by_name:
             expected = "an option of docs/operators/options.md"
             findings.append(Finding(place, make_excerpt(value), expected, "correct or remove it"))
             continue
         try:
-            changes[name] = msgspec.convert(value, kinds[name])
+            changes[name] = msgspec.convert(value, types_by_name[name])
         except msgspec.ValidationError as error:
             findings.append(Finding(place, make_excerpt(value), str(error), "correct the value"))
     return Err(findings) if findings else Ok(replace(options, **changes))
--- a/packages/core/src/myrtlehook_core/process/options.py
+++ b/packages/core/src/myrtlehook_core/process/options.py
@@ -1,133 +1,149 @@
-"""The core's tunable constants, with the defaults that the measurements chose."""
+"""The core's options: tunable intervals and limits, with defaults chosen by measurement."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class CoreOptions:
-    """Intervals and bounds of one router; see docs/operators/settings.md."""
+    """Intervals, limits and switches of one router; see docs/operators/settings.md.
+
+    Names that end in ``_part`` are fractions between 0 and 1. An ``aim`` is a request's target
+    for the time to the first token.
+    """
 
     refresh_interval_s: float = 0.1
-    """How often bids and service reports go out while something changes."""
+    """Interval between bids and between service reports, while something changes."""
     spread_delay_s: float = 0.03
-    """How long a queue is offered to one owner before all owners hear of it."""
+    """How long a queue is offered to a single owner before bids offer it to all owners."""
     bid_lease_s: float = 0.7
-    """How long an owner believes a bid that is not refreshed."""
+    """How long an owner uses a bid that is not refreshed."""
     grant_lease_s: float = 1.0
     """How long after its bid was sent a grant may start a request."""
     unconfirmed_lease_s: float = 1.5
-    """How long an owner counts a grant as held that its holder has not confirmed."""
+    """How long an owner counts a slot as held for a grant that its holder has not confirmed."""
     hold_interval_s: float = 1.0
     hold_lease_s: float = 3.5
-    """How long an owner counts a slot as held without hearing from its holder."""
+    """How long an owner counts a slot as held without a renewal from its holder."""
     adopt_delay_s: float = 0.2
-    """How long a new owner waits for holders to report before it grants."""
+    """How long a new owner waits for reports of the holders before it grants."""
     load_interval_s: float = 1.0
-    """Infinity where load reports are not asked for."""
+    """Interval between polls of a backend server's load report; infinity disables polling."""
     probe_interval_s: float = 0.15
     probe_timeout_s: float = 0.1
     indirect_timeout_s: float = 0.15
     suspicion_s: float = 0.3
     indirect_helpers: int = 2
     pause_threshold_s: float = 1.0
-    """A loop this late has been paused; what it believed is dropped."""
+    """If no tick is handled for longer than this, the process was paused, and state that may be
+    out of date is dropped."""
     ledger_count: int = 2
     handover_s: float = 1.0
-    """How long a new ledger account takes over totals that entries hand to it."""
+    """How long a new ledger account accepts the totals that ingress routers hand over, and how
+    long they send them after a change of ownership."""
     idle_grace_s: float = 1.0
-    """A workspace with nothing waiting for this long counts as idle."""
+    """A workspace that has had no requests waiting for this long counts as idle."""
     idle_drop_s: float = 120.0
-    """An idle account is dropped after this long; its return brings no credit."""
+    """An idle account is dropped after this long; a workspace that returns gains no credit."""
     cut_memory_s: float = 60.0
-    """How long the share of service beyond a cut is extrapolated."""
+    """During a network partition, how long after an unreachable router's last report the service
+    on its side is extrapolated."""
     early_charge: bool = True
+    """Whether owners charge a grant to its workspace at once, before service reports show it."""
     charge_fanout: int = 16
-    """An owner tells its early charges to the pool's other owners up to so many."""
+    """An owner sends early charges to the pool's other owners if there are at most this many."""
     overfill_slots: int = 0
-    """Requests granted beyond a server's slots, to hide the turn-around of a slot."""
+    """Requests granted beyond a server's slots, to hide the delay between the release of a slot
+    and its next use."""
     choice_spread_units: float = 0.0
-    """H of the weighted random choice; 0 takes two mean requests a share."""
+    """Spread (H) of the weighted random choice of a workspace, in service units per share; 0 uses
+    the cost of two mean requests per share."""
     weighted_choice: bool = True
+    """Whether owners choose workspaces by weighted random choice in pools with too many owners for
+    early charges; else they always choose the one with the lowest virtual service."""
     fetches_memory: bool = True
-    """Whether an engine that is not the home of a prompt takes what the home keeps of it,
-    instead of reading that again."""
+    """Whether an engine fetches the cached prefix of a prompt from another engine that keeps more
+    of it, instead of reading that prefix again."""
     urgent_wait_part: float = 0.3
-    """A request of a workspace that asks for more than its share waits for an engine at most
-    this part of the shortest aim that is asked for there, if its own is longer; 0 where each
-    request may wait for most of its own aim."""
+    """A request of a workspace that asks for more than its share waits for an engine for at most
+    this part of the shortest first-token target among the engine's requests, if its own target
+    is longer; 0 lets each request wait for most of its own target."""
     learns_engines: bool = True
-    """Whether rate and delay of an engine follow its answers; else they stay as believed
-    before the first one."""
+    """Whether an engine's estimated rate and delay are updated from its responses; else they keep
+    their initial values."""
     window_gain: float = 1.0
-    """An engine is given prompts ahead for its own delay times this,"""
+    """An engine is granted prompts to read ahead for a period: its own delay times this."""
     window_margin_s: float = 0.02
-    """and for this long, in which its owner takes a turn and the grant arrives."""
+    """Added to that period, for one turn of the owner's loop and the delivery of the grant."""
     fewest_near_engines: int = 4
-    """With so many engines in its own availability zone, a router asks there first."""
+    """With at least this many engines in its own availability zone, a router asks there first."""
     engines_asked: int = 3
-    """How many engines a request asks for before it is refused."""
+    """The number of engines that may refuse a request before it is refused to its client."""
     excess_engines_asked: int = 1
-    """The same for a request that exceeds its workspace's share."""
+    """The same, for a request in excess of its workspace's share."""
     eager_aim_part: float = 0.4
-    """An engine of the own zone that is asked before these takes a request only if its answer
-    begins within this part of its aim: a zone with more callers than others must not keep
-    them waiting while engines elsewhere are free."""
+    """An engine of the own zone that is asked before all others accepts a request only if its
+    response is expected to begin within this part of its first-token target, so that a zone with
+    more clients than others does not keep them waiting while engines elsewhere are free."""
     aim_slack_part: float = 0.85
-    """A request is taken only if its answer is expected to begin within this part of its
-    aim; estimates err."""
+    """A request is accepted only if its response is expected to begin within this part of its
+    first-token target; the rest allows for errors of the estimate."""
     stranger_aim_part: float = 0.7
-    """An engine takes a request whose prompt another one keeps only if its answer begins
-    within this part of its aim."""
+    """The same at engines that are asked after the one that most likely has the prompt cached."""
     quota_window_s: float = 2.0
-    """Shares of a pool's capacity are kept within every window of this length. A workspace
-    that floods suddenly takes one window's share at once, so that this is to be half of
-    the span over which workspaces that flood are to receive alike."""
+    """Shares of a pool's capacity are enforced within every window of this length. A workspace
+    that suddenly floods the pool takes one window's share at once, so this should be half of
+    the period over which flooding workspaces must receive equal service."""
     demand_interval_s: float = 0.2
-    """How often routers report what was asked of model engines."""
+    """Interval between routers' reports of the demand for model engines."""
     keeps_shares: bool = True
-    """Whether what exceeds a workspace's share is served later."""
+    """Whether requests in excess of their workspace's share are served after all others."""
     small_workspaces_first: bool = True
-    """Whether workspaces that ask for less than their share come before those that ask
-    for more, also within the share of these."""
+    """Whether workspaces that ask for less than their share are served before those that ask for
+    more, even before those requests of the latter that are within their share."""
     refuses_at_arrival: bool = True
-    """Whether an engine's owner refuses at once what cannot be in time."""
+    """Whether an engine's owner refuses a request at once if it cannot be served in time."""
     refuses_full_tiers: bool = True
-    """Whether a router refuses what exceeds a share itself while engines take none of it."""
+    """Whether a router itself refuses most requests in excess of a share while engines accept
+    none of them."""
     favours_returned: bool = True
-    """Whether a request that was refused before is taken first when its caller is back."""
+    """Whether a request that was refused before is preferred when its client retries it."""
     ejects_servers: bool = True
-    """Whether a backend server that fails again and again is left alone for a while."""
+    """Whether a backend server that fails repeatedly is ejected, so that it gets no requests for a
+    while."""
     quarantines_requests: bool = True
-    """Whether a request under which backend servers end again and again is held back."""
+    """Whether a request during which backend servers repeatedly ended is quarantined."""
     sheds_overload: bool = True
-    """Whether a router short of processor time turns requests away."""
+    """Whether a router that is short of processor time sheds load by refusing requests."""
     passes_connections: bool = True
-    """Whether a router short of processor time has neighbours serve callers of its own."""
+    """Whether a router that is short of processor time passes client connections to neighbours."""
     passing_starts_part: float = 0.6
-    """Below this part of its processor time, a router serves every new connection itself;"""
+    """Up to this utilisation of its processor time, a router serves every new connection itself."""
     passing_all_part: float = 0.85
-    """from here on it passes each on, and in between a part of them."""
+    """From this utilisation on, a router passes on every new connection; between the two limits, a
+    part that rises linearly."""
     helping_limit_part: float = 0.7
-    """A router that uses this part of its processor time takes no connection of another."""
+    """A router with at least this utilisation accepts no connections from neighbours."""
     capacity_factor: float = 1.0
-    """Corrects what a configuration says that its engines produce."""
+    """Correction factor for the engine capacity that a configuration states."""
     source_readers: int = 0
-    """How many routers read the source for all; 0 where each reads for itself."""
+    """The number of routers that read the source on behalf of all; 0 if each reads for itself."""
     first_read_delay_s: float = 0.0
-    """Where all routers start together: how long each learns of the others before those
-    that read the source begin; 0 where a router that starts reads at once."""
+    """Where all routers start together: how long they discover each other before some of them
+    begin to read the source; 0 if a starting router reads it at once."""
     reader_age_limit_s: float = 1.5
-    """A reader that has not said for this long that the source answers it counts no more."""
+    """A reader that has not reported for this long that the source answers it is not counted."""
     source_silence_s: float = 1.4
-    """How long after an answer of the source a reader may say that it still answers."""
+    """How long after an answer of the source a reader may report that the source still answers."""
     exchange_totals: bool = True
-    """False only in the bench's baseline that keeps its own counters."""
+    """Whether routers exchange service totals; False only in the benchmark's baseline, where each
+    router keeps its own counters."""
     serves_while_draining: bool = False
-    """Whether a stopping router takes new requests until its balancer has noticed."""
+    """Whether a draining router accepts new requests until its load balancer has noticed."""
     cold_overshoot: float = 1.0
-    """A cold engine may get so many times the requests a second that its pool is said to take,"""
+    """The requests per second that a cold engine may get from all routers together, as a multiple
+    of what its pool states for cold engines."""
     cold_tolerance_requests: float = 0.0
-    """and so many more, from all routers together."""
+    """Requests per second that a cold engine may get in addition to that."""
     router_requests: int = 20_000
     router_bytes: int = 512 * 1024 * 1024
     retry_ratio: float = 0.2
--- a/packages/core/src/myrtlehook_core/process/owners.py
+++ b/packages/core/src/myrtlehook_core/process/owners.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from myrtlehook_core.process.actions import Outbox, PollLoad, ServerEjected
+from myrtlehook_core.process.actions import ActionList, PollLoad, ServerEjected
 from myrtlehook_core.process.backoffs import Backoffs, is_backing_off
 from myrtlehook_core.process.bids import (
     EARLY_CHARGE_REFRESHES,
@@ -76,7 +76,7 @@
     backoffs: Backoffs
     """Back-offs that backend servers have requested from this router."""
     draw: Draw
-    actions: Outbox
+    actions: ActionList
     outbox: MessageOutbox
 
 
@@ -128,7 +128,7 @@
         return
     bids = owner.bids.setdefault(configured.pool, PoolBids())
     deadline_s = now_s + context.options.bid_lease_s
-    record_bid_row(bids, sender, release.row, release.bid_sent_at_s, deadline_s)
+    record_bid_row(bids, sender, release.bid_row, release.bid_sent_at_s, deadline_s)
     grant_slots(owner, context, configured.pool, now_s)
 
 
@@ -186,7 +186,7 @@
     if bids is None:
         return
     expires_at_s = now_s + EARLY_CHARGE_REFRESHES * context.options.refresh_interval_s
-    record_early_charge(bids, message.workspace, message.virtual_units, expires_at_s)
+    record_early_charge(bids, message.workspace, message.virtual_service_units, expires_at_s)
 
 
 def tick_owner(owner: SlotOwner, context: OwnerContext, now_s: float) -> None:
--- a/packages/core/src/myrtlehook_core/process/probing.py
+++ b/packages/core/src/myrtlehook_core/process/probing.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from myrtlehook_core.process.actions import Outbox, RenewLink, Send, ServerLeavingNoted
+from myrtlehook_core.process.actions import ActionList, RenewLink, Send, ServerLeavingReported
 from myrtlehook_core.process.choosers import Draw
 from myrtlehook_core.process.leaving_servers import (
     LeavingServers,
@@ -106,7 +106,7 @@
     """Returns the routers that read the source."""
     quarantine: Callable[[], tuple[QuarantineRow, ...]]
     """Returns the requests that are refused because servers ended under them."""
-    out: Outbox
+    out: ActionList
 
 
 def tick_prober(prober: Prober, context: ProbeContext, now_s: float) -> None:
@@ -183,7 +183,7 @@
         take_row(context.table, row, now_s, context.options.suspicion_s)
     for leaving in news.leaving:
         if note_leaving(context.leaving, leaving, count_news(context.table)):
-            context.out.add(ServerLeavingNoted(leaving.backend_server, sender))
+            context.out.add(ServerLeavingReported(leaving.backend_server, sender))
 
 
 def announce(context: ProbeContext) -> None:
--- a/packages/core/src/myrtlehook_core/process/quarantine_handlers.py
+++ b/packages/core/src/myrtlehook_core/process/quarantine_handlers.py
@@ -3,7 +3,7 @@
 from typing import TYPE_CHECKING
 
 from myrtlehook_core.process import events
-from myrtlehook_core.process.actions import QuarantineCause, QuarantineNoted, ServerEndCounted
+from myrtlehook_core.process.actions import QuarantineCause, QuarantineChanged, ServerEndCounted
 from myrtlehook_core.process.admission_ends import refuse_admission
 from myrtlehook_core.process.hashing import rank_routers
 from myrtlehook_core.process.ingress import update_queue_counts
@@ -44,7 +44,7 @@
         ended_age_ms=round((now_s - event.ended_s) * 1000.0),
     )
     for router_id in _collectors(core, event.fingerprint):
-        core.post.add(router_id, report)
+        core.outbox.add(router_id, report)
 
 
 def take_end_report(
@@ -55,7 +55,7 @@
     if suspect is None:
         return
     fingerprint = message.fingerprint
-    core.out.add(ServerEndCounted(fingerprint, message.backend_server, suspect.ends))
+    core.actions.add(ServerEndCounted(fingerprint, message.backend_server, suspect.ends))
     if suspect.ends < ENDS_HELD:
         return
     verdict = hold(core.quarantine, fingerprint, suspect, now_s)
@@ -90,7 +90,7 @@
 
 def relay_quarantine(core: "RouterCore", sender: str, is_news: bool) -> None:
     """Tell the own zone what a few of it were told from another one."""
-    if is_news and not core.is_near(sender):
+    if is_news and not core.is_in_own_zone(sender):
         announce_near(core.probe_context())
 
 
@@ -136,7 +136,7 @@
     if not is_cleared(core.quarantine, fingerprint):
         return
     for router_id in _collectors(core, fingerprint):
-        core.post.add(router_id, SoundRunReport(fingerprint))
+        core.outbox.add(router_id, SoundRunReport(fingerprint))
 
 
 def _collectors(core: "RouterCore", fingerprint: bytes) -> tuple[str, ...]:
@@ -145,4 +145,4 @@
 
 
 def _note(core: "RouterCore", fingerprint: bytes, verdict: Verdict, cause: QuarantineCause) -> None:
-    core.out.add(QuarantineNoted(fingerprint, verdict.ends, verdict.held_until_s, cause))
+    core.actions.add(QuarantineChanged(fingerprint, verdict.ends, verdict.held_until_s, cause))
--- a/packages/core/src/myrtlehook_core/process/routers.py
+++ b/packages/core/src/myrtlehook_core/process/routers.py
@@ -1,7 +1,7 @@
-"""The decision core of one router: events in, actions out.
+"""The decision core of one router: it takes events and returns actions.
 
-It does no I/O, reads no clock and draws no random numbers of its own, so that a
-test or a bench can drive many routers at once, in any order.
+It does no I/O, reads no clock and generates no random numbers itself, so that a
+test or benchmark can drive many routers in one process, in any order.
 """
 
 from collections.abc import Iterable
@@ -9,9 +9,9 @@
 from myrtlehook_core.process import events
 from myrtlehook_core.process.actions import (
     Action,
-    MemberNoted,
-    Outbox,
-    PauseNoticed,
+    ActionList,
+    MemberStateChanged,
+    PauseDetected,
     Send,
 )
 from myrtlehook_core.process.admission_handover import announce_admissions, drop_removed_engines
@@ -81,7 +81,7 @@
 
 
 class RouterCore:
-    """All state of one router; ``handle`` is the only way in."""
+    """All state of one router; events enter through ``handle`` only."""
 
     def __init__(
         self,
@@ -98,8 +98,8 @@
         self.placement = Placement()
         self.exchange = ConfigurationExchange(parser=parser)
         self.discovery = Discovery()
-        self.leaving = LeavingServers()
-        self.cold = ColdEngines()
+        self.leaving_servers = LeavingServers()
+        self.cold_engines = ColdEngines()
         self._applied_revisions = (0, 0)
         self._applied_base = self.exchange.current
         self._configuration = self.exchange.current
@@ -107,54 +107,54 @@
         self.owner = SlotOwner(int(draw() * GRANT_ID_SPACE))
         self.ledger = Ledger()
         self.admissions = Admissions()
-        self.queues = EngineQueues()
+        self.engine_queues = EngineQueues()
         self.shares = Shares()
         self.quarantine = Quarantine(first_serial=identity.incarnation)
-        self.readers = SourceReaders(reading=options.first_read_delay_s == 0.0)
+        self.source_readers = SourceReaders(reading=options.first_read_delay_s == 0.0)
         self._now_s = 0.0
         self.last_tick_s: float | None = None
-        self.out = Outbox()
-        """The actions of the event being handled."""
-        self.post = MessageOutbox()
-        """The messages of the event being handled."""
+        self.actions = ActionList()
+        """The actions that the current event has produced."""
+        self.outbox = MessageOutbox()
+        """The messages that the current event has produced, this router's own included."""
 
     @property
     def configuration(self) -> Configuration:
-        """The configuration in force, with the servers that discovery knows.
+        """The active configuration, with the backend servers from discovery.
 
-        Those that have said that they leave are marked, in whichever way it was heard.
+        Servers that are known to be leaving, from any source, are marked as leaving.
         """
         base = self.exchange.current
-        revisions = (self.discovery.revision, self.leaving.revision)
+        revisions = (self.discovery.revision, self.leaving_servers.revision)
         if self._applied_base is not base or self._applied_revisions != revisions:
             self._applied_base = base
             self._applied_revisions = revisions
             discovered = apply_discovery(base, self.discovery)
-            self._configuration = mark_leaving(discovered, self.leaving)
+            self._configuration = mark_leaving(discovered, self.leaving_servers)
         return self._configuration
 
     def add_seeds(self, seeds: Iterable[tuple[str, str]], now_s: float) -> None:
-        """Name routers, by id and address, that may be alive."""
+        """Add routers that may be alive, as pairs of id and address, as candidate members."""
         for router_id, address in seeds:
             add_candidate(self.table, router_id, address, now_s)
 
     def handle(self, event: events.Event, now_s: float) -> list[Action]:
-        """Take one event and return the actions that it calls for, in order."""
-        self.out = Outbox()
-        self.post = MessageOutbox()
+        """Handle one event and return the resulting actions, in order."""
+        self.actions = ActionList()
+        self.outbox = MessageOutbox()
         self._now_s = now_s
-        self._notice_pause(now_s)
+        self._handle_pause(now_s)
         EVENT_HANDLERS[type(event)](self, event, now_s)
-        self._settle(now_s)
-        self._tell_changes()
-        return self.out.actions
+        self._finish_event(now_s)
+        self._report_member_changes()
+        return self.actions.actions
 
-    def find_next_grant(self) -> float:
-        """Return when ``GrantsDue`` is next of use; infinity while it is not."""
-        return find_next_grant(self.queues, self.options, self._now_s)
+    def find_next_grant_s(self) -> float:
+        """Return when the core next needs a ``GrantsDue`` event; infinity if it needs none."""
+        return find_next_grant(self.engine_queues, self.options, self._now_s)
 
     def describe_engines(self) -> list[EngineFigures]:
-        """Return what is believed of each owned engine, for metrics."""
+        """Return the estimated state of each owned engine, for metrics."""
         return [
             EngineFigures(
                 backend_server=name,
@@ -165,24 +165,24 @@
                 granted_requests=len(load.granted),
                 cold_until_s=load.pace.cold_until_s,
             )
-            for name, load in sorted(self.queues.loads.items())
+            for name, load in sorted(self.engine_queues.loads.items())
         ]
 
-    def take_message(self, sender: str, message: Message, now_s: float) -> None:
-        """Take a message, of another router or of this one."""
+    def handle_message(self, sender: str, message: Message, now_s: float) -> None:
+        """Handle a message from another router or from this one."""
         MESSAGE_HANDLERS[type(message)](self, sender, message, now_s)
 
-    # -- what the features need -------------------------------------------------
+    # -- contexts for the functions of each subsystem ------------------------------
 
     def entry_context(self) -> IngressContext:
-        """Return the entry's context for this event."""
+        """Return the ingress side's context for this event."""
         return IngressContext(
             options=self.options,
             configuration=self.configuration,
             draining=self.table.draining,
             draw=self.draw,
-            actions=self.out,
-            outbox=self.post,
+            actions=self.actions,
+            outbox=self.outbox,
             quarantine=self.quarantine,
         )
 
@@ -191,15 +191,15 @@
         return OwnerContext(
             options=self.options,
             configuration=self.configuration,
-            other_owners=self._other_owners,
+            other_owners=self._list_other_owners,
             backoffs=self.entry.backoffs,
             draw=self.draw,
-            actions=self.out,
-            outbox=self.post,
+            actions=self.actions,
+            outbox=self.outbox,
         )
 
     def admission_context(self) -> AdmissionContext:
-        """Return the context of requests for model engines for this event."""
+        """Return the context of admission to model engines for this event."""
         return AdmissionContext(
             entry=self.entry,
             entry_context=self.entry_context(),
@@ -210,104 +210,112 @@
         )
 
     def queue_context(self) -> QueueContext:
-        """Return the context of the owned engines' queues for this event."""
+        """Return the context of the queues of owned engines for this event."""
         return QueueContext(
             options=self.options,
             configuration=self.configuration,
-            reachable=self.reachable,
-            out=self.out,
-            post=self.post,
+            reachable=self.is_reachable,
+            out=self.actions,
+            post=self.outbox,
         )
 
     def probe_context(self) -> ProbeContext:
         """Return the failure detector's context for this event."""
         return ProbeContext(
             table=self.table,
-            leaving=self.leaving,
+            leaving=self.leaving_servers,
             options=self.options,
             draw=self.draw,
             version=self.configuration.version,
             servers_order=self.discovery.source_order,
-            readers=self._reader_rows,
-            quarantine=self._quarantine_rows,
-            out=self.out,
+            readers=self._collect_reader_rows,
+            quarantine=self._collect_quarantine_rows,
+            out=self.actions,
         )
 
-    def reachable(self, router_id: str) -> bool:
-        """Tell whether a router is worth sending to."""
+    def is_reachable(self, router_id: str) -> bool:
+        """Return whether a router may be alive, so that messages can be sent to it."""
         return is_reachable(self.table, router_id)
 
-    def is_near(self, router_id: str) -> bool:
-        """Tell whether a router stands in this one's availability zone."""
+    def is_in_own_zone(self, router_id: str) -> bool:
+        """Return whether a router is in the same availability zone as this one."""
         return find_zone(self.table, router_id) == self.identity.availability_zone
 
-    def _reader_rows(self) -> tuple[ReaderRow, ...]:
-        return collect_readers(self.readers, self.table, self.options, self._now_s)
+    def _collect_reader_rows(self) -> tuple[ReaderRow, ...]:
+        return collect_readers(self.source_readers, self.table, self.options, self._now_s)
 
-    def _quarantine_rows(self) -> tuple[QuarantineRow, ...]:
+    def _collect_quarantine_rows(self) -> tuple[QuarantineRow, ...]:
         return collect_rows(self.quarantine, self._now_s)
 
-    def _other_owners(self, pool: str) -> tuple[str, ...]:
+    def _list_other_owners(self, pool: str) -> tuple[str, ...]:
         owners = self.placement.pool_owners.get(pool, ())
         return tuple(owner for owner in owners if owner != self.identity.router_id)
 
-    # -- the end of every event ---------------------------------------------------
+    # -- work after every event ----------------------------------------------------
 
-    def _settle(self, now_s: float) -> None:
-        """Follow ownership, then deliver messages, this router's own included."""
-        self._follow_ownership(now_s)
+    def _finish_event(self, now_s: float) -> None:
+        """Update ownership, then deliver messages, including those to this router itself."""
+        self._update_ownership(now_s)
         mark_cold_engines(self, now_s)
-        self._deliver(now_s)
+        self._deliver_messages(now_s)
         if self.quarantine.is_news:
             refuse_waiting(self, now_s)
-            self._deliver(now_s)
+            self._deliver_messages(now_s)
 
-    def _deliver(self, now_s: float) -> None:
-        while self.post.messages:
-            router_id, message = self.post.messages.pop(0)
+    def _deliver_messages(self, now_s: float) -> None:
+        while self.outbox.messages:
+            router_id, message = self.outbox.messages.pop(0)
             if router_id == self.identity.router_id:
-                self.take_message(router_id, message, now_s)
-                self._follow_ownership(now_s)
+                self.handle_message(router_id, message, now_s)
+                self._update_ownership(now_s)
                 continue
             member = self.table.members.get(router_id)
             if member is not None and member.state is not MemberState.DEAD:
-                self.out.add(Send(router_id, member.address, message))
+                self.actions.add(Send(router_id, member.address, message))
 
-    def _follow_ownership(self, now_s: float) -> None:
-        before = self.placement.server_owners
+    def _update_ownership(self, now_s: float) -> None:
+        previous_owners = self.placement.server_owners
         if not refresh_placement(self.placement, self.table, self.configuration):
             return
         owned = find_owned_servers(self.placement, self.identity.router_id)
         set_owned_servers(self.owner, owned, now_s)
         set_owned_engines(
-            self.queues, owned, self.configuration, now_s, self.options, self.cold.deadlines_s
+            self.engine_queues,
+            owned,
+            self.configuration,
+            now_s,
+            self.options,
+            self.cold_engines.deadlines_s,
         )
         owners = self.placement.server_owners
-        moved = {name: owner for name, owner in owners.items() if before.get(name) != owner}
+        moved = {
+            name: owner for name, owner in owners.items() if previous_owners.get(name) != owner
+        }
         announce_admissions(self.admissions, self.admission_context(), moved, now_s)
         drop_removed_engines(self.admissions, frozenset(owners))
-        send_holds_to_new_owners(self.entry, before, self.placement, self.post)
+        send_holds_to_new_owners(self.entry, previous_owners, self.placement, self.outbox)
         self.entry.handover_until_s = now_s + self.options.handover_s
         for account in self.entry.accounts.values():
             account.changed = True
 
-    def _tell_changes(self) -> None:
+    def _report_member_changes(self) -> None:
         changes, self.table.changes = self.table.changes, []
         for change in changes:
-            self.out.add(MemberNoted(change))
+            self.actions.add(MemberStateChanged(change))
 
-    def _notice_pause(self, now_s: float) -> None:
+    def _handle_pause(self, now_s: float) -> None:
         last_tick_s = self.last_tick_s
         if last_tick_s is None:
             return
         late_s = now_s - last_tick_s
         if late_s <= self.options.pause_threshold_s:
             return
-        # What was believed before the pause may have moved to other routers.
+        # Other routers may have taken over servers and leases during the pause, so state
+        # from before it is no longer reliable.
         self.last_tick_s = now_s
-        self.out.add(PauseNoticed(late_s))
+        self.actions.add(PauseDetected(late_s))
         reset_owner_state(self.owner, now_s)
-        clear_queues(self.queues, now_s)
+        clear_queues(self.engine_queues, now_s)
         self.entry.advertised_requests.clear()
         self.prober.pending.clear()
         self.prober.missed.clear()
--- a/packages/core/src/myrtlehook_core/process/runs.py
+++ b/packages/core/src/myrtlehook_core/process/runs.py
@@ -1,6 +1,6 @@
 """The course of a request at its ingress router: queued, dispatched, ended or retried."""
 
-from myrtlehook_core.process.actions import Dispatch, DropNoted, RetryNoted
+from myrtlehook_core.process.actions import Dispatch, MessageDropped, RequestRequeued
 from myrtlehook_core.process.backoffs import is_backing_off
 from myrtlehook_core.process.bidding import send_bid
 from myrtlehook_core.process.ingress import (
@@ -107,7 +107,7 @@
             # Sent before the release: otherwise the owner would grant the same slot again.
             send_bid(ingress, grant.pool, owner, context.outbox, now_s, grant.backend_server)
         reason = _choose_drop_reason(expired, closed)
-        context.actions.add(DropNoted(reason))
+        context.actions.add(MessageDropped(reason))
         release = _release_unused(ingress, key, grant, now_s)
         ingress.unconfirmed_releases.append(release)
         context.outbox.add(owner, release)
@@ -160,7 +160,7 @@
     key = make_pool_key(request)
     cancel_charge(ingress.accounts[key], request_id)
     if claim_retry(ingress, context, request, reason, now_s):
-        context.actions.add(RetryNoted(request_id, reason))
+        context.actions.add(RequestRequeued(request_id, reason))
         queue = ingress.queues.setdefault(key, WorkspaceQueue())
         push_request_first(queue, request, now_s)
         update_queue_counts(ingress, request, 1)
--- a/packages/core/src/myrtlehook_core/process/server_notice_handlers.py
+++ b/packages/core/src/myrtlehook_core/process/server_notice_handlers.py
@@ -3,7 +3,7 @@
 from typing import TYPE_CHECKING
 
 from myrtlehook_core.process import events
-from myrtlehook_core.process.actions import ServerBackoffNoted, ServerLeavingNoted
+from myrtlehook_core.process.actions import ServerBackoffReported, ServerLeavingReported
 from myrtlehook_core.process.backoffs import record_backoff
 from myrtlehook_core.process.bidding import send_bid
 from myrtlehook_core.process.leaving_servers import make_row, note_leaving
@@ -27,8 +27,8 @@
     core: "RouterCore", sender: str, message: LeavingNotice, now_s: float
 ) -> None:
     """Take what a server has told another router, as the server's owner."""
-    if note_leaving(core.leaving, message.row, count_news(core.table)):
-        core.out.add(ServerLeavingNoted(message.row.backend_server, sender))
+    if note_leaving(core.leaving_servers, message.row, count_news(core.table)):
+        core.actions.add(ServerLeavingReported(message.row.backend_server, sender))
 
 
 def _note_leaving(core: "RouterCore", event: events.ServerNoticed) -> None:
@@ -37,13 +37,13 @@
     All others hear of it with the next probes; until then the owner refuses what they ask.
     """
     name = event.backend_server
-    row = make_row(core.leaving, name)
-    if not note_leaving(core.leaving, row, count_news(core.table)):
+    row = make_row(core.leaving_servers, name)
+    if not note_leaving(core.leaving_servers, row, count_news(core.table)):
         return
-    core.out.add(ServerLeavingNoted(name, "answer", event.request_id))
+    core.actions.add(ServerLeavingReported(name, "answer", event.request_id))
     owner = core.placement.server_owners.get(name)
     if owner is not None and owner != core.identity.router_id:
-        core.post.add(owner, LeavingNotice(row))
+        core.outbox.add(owner, LeavingNotice(row))
 
 
 def _note_backoff(core: "RouterCore", event: events.ServerNoticed, now_s: float) -> None:
@@ -54,9 +54,9 @@
     entry = core.entry
     if not record_backoff(entry.backoffs, name, pool, event.backoff_until_s):
         return
-    core.out.add(ServerBackoffNoted(name, event.backoff_until_s, event.request_id))
+    core.actions.add(ServerBackoffReported(name, event.backoff_until_s, event.request_id))
     owner = core.placement.server_owners.get(name)
     if owner is not None and entry.advertised_requests.get(owner):
         # Bids tell it: an owner that does not know would grant slots that come back unused.
-        send_bid(entry, pool, owner, core.post, now_s)
+        send_bid(entry, pool, owner, core.outbox, now_s)
     refuse_unservable(entry, core.entry_context(), now_s)
--- a/packages/core/src/myrtlehook_core/process/settings.py
+++ b/packages/core/src/myrtlehook_core/process/settings.py
@@ -1,4 +1,4 @@
-"""The settings of one router process: JSON with comments, checked as a whole."""
+"""The settings of one router process: JSON with comments, validated as a whole."""
 
 from typing import Annotated
 
@@ -19,21 +19,21 @@
 
 
 class ListenSettings(Document):
-    """An address to listen on."""
+    """An IP address and port: to listen on or, for statsd, to send to."""
 
     address: Ip
     port: int = Field(ge=1, le=65535)
 
 
 class SeedSettings(Document):
-    """Another router known when this VM was made, for when the platform is down."""
+    """A router known when this VM was created, to reach while the platform is down."""
 
     vm: VmName
     address: Endpoint
 
 
 class LimitSettings(Document):
-    """Bounds of this process; each has a refusal reason and a counter."""
+    """Resource limits of this process; each has a refusal reason and a counter."""
 
     body_bytes: int = Field(default=8 * 1024 * 1024, ge=1)
     header_bytes: int = Field(default=32 * 1024, ge=1024)
@@ -44,7 +44,7 @@
 
 
 class TimingSettings(Document):
-    """Intervals of the exchange between routers; every router must use the same."""
+    """Intervals of the exchange between routers; all routers must use the same values."""
 
     refresh_interval_s: float = Field(default=DEFAULTS.refresh_interval_s, gt=0, le=5)
     probe_interval_s: float = Field(default=DEFAULTS.probe_interval_s, gt=0, le=5)
@@ -52,15 +52,15 @@
 
 
 class TestHookSettings(Document):
-    """Switches for failure tests; leave out in production."""
+    """Switches for failure tests; not for use in production."""
 
     cut: bool = False
-    """Operators may cut this router from peers or the platform by ``POST /test/cut``."""
+    """Whether ``POST /test/cut`` may cut this router off from its peers or the platform."""
     policy: str = Field(default="fleet", pattern="^(fleet|local)$")
 
 
 class Settings(Document):
-    """Everything that one router process is told at its start."""
+    """All settings that a router process starts with."""
 
     vm: VmName
     availability_zone: VmName
@@ -68,7 +68,7 @@
     operators: ListenSettings
     peers: ListenSettings
     fleet_key: str = Field(min_length=16)
-    """Secret that authenticates messages between routers."""
+    """The secret that authenticates messages between routers."""
     platform: tuple[Endpoint, ...] = Field(min_length=1)
     seeds: tuple[SeedSettings, ...] = ()
     statsd: ListenSettings | None = None
@@ -78,16 +78,16 @@
 
 
 def load_settings(text: str, source: str) -> Result[Settings, list[Finding]]:
-    """Read settings; all findings are returned at once."""
+    """Parse and validate settings; on failure, return all findings at once."""
     parsed = parse_document(Settings, text, source)
     if isinstance(parsed, Err):
         return parsed
-    findings = _find_clashes(parsed.ok_value, source)
+    findings = _find_duplicate_endpoints(parsed.ok_value, source)
     return Err(findings) if findings else parsed
 
 
 def core_options(settings: Settings) -> CoreOptions:
-    """Return the core's options as these settings have them."""
+    """Return the core's options that correspond to these settings."""
     return CoreOptions(
         refresh_interval_s=settings.timing.refresh_interval_s,
         probe_interval_s=settings.timing.probe_interval_s,
@@ -98,24 +98,24 @@
     )
 
 
-def _find_clashes(settings: Settings, source: str) -> list[Finding]:
+def _find_duplicate_endpoints(settings: Settings, source: str) -> list[Finding]:
     findings = []
     listeners = {
         "callers": settings.callers,
         "operators": settings.operators,
         "peers": settings.peers,
     }
-    taken: dict[tuple[str, int], str] = {}
+    used_by: dict[tuple[str, int], str] = {}
     for name, listener in listeners.items():
         endpoint = (listener.address, listener.port)
-        if endpoint in taken:
+        if endpoint in used_by:
             findings.append(
                 Finding(
                     place=f"{source}: {name}",
-                    seen=f"{listener.address}:{listener.port}, the same as {taken[endpoint]}",
+                    seen=f"{listener.address}:{listener.port}, the same as {used_by[endpoint]}",
                     expected="an address and port of its own",
                     advice="give each listener its own port",
                 )
             )
-        taken[endpoint] = name
+        used_by[endpoint] = name
     return findings
--- a/packages/core/src/myrtlehook_core/process/source_handlers.py
+++ b/packages/core/src/myrtlehook_core/process/source_handlers.py
@@ -63,28 +63,28 @@
 
 def on_servers(core: "RouterCore", event: events.BackendServersRead, now_s: float) -> None:
     """Take the source's list of backend servers, and tell of changes."""
-    after_outage = event.after_outage or knows_outage(core.readers, now_s)
+    after_outage = event.after_outage or knows_outage(core.source_readers, now_s)
     zones = event.evacuated_zones
-    if take_servers(core.discovery, event.servers, after_outage, now_s, event.order, zones):
+    if take_servers(core.discovery, event.servers, after_outage, now_s, event.source_order, zones):
         tell_servers(core, PLATFORM)
         _announce(core)
 
 
 def on_source_answered(core: "RouterCore", event: events.SourceAnswered, now_s: float) -> None:
     """Note that the source answers this router."""
-    note_answer(core.readers, now_s)
+    note_answer(core.source_readers, now_s)
 
 
 def on_source_failed(core: "RouterCore", event: events.SourceFailed, now_s: float) -> None:
     """Note that the source does not answer this router."""
-    note_failure(core.readers)
+    note_failure(core.source_readers)
 
 
 def tick_source(core: "RouterCore", now_s: float) -> None:
     """Decide whether this router reads the source."""
-    if tick_readers(core.readers, core.table, core.options, now_s):
-        before = readers_before(core.readers, core.table, core.options, now_s)
-        core.out.add(ReadSource(core.readers.reading, before))
+    if tick_readers(core.source_readers, core.table, core.options, now_s):
+        before = readers_before(core.source_readers, core.table, core.options, now_s)
+        core.actions.add(ReadSource(core.source_readers.reading, before))
 
 
 def sweep_source(core: "RouterCore", now_s: float) -> None:
@@ -99,11 +99,11 @@
     version = ConfigurationVersion(news.configuration_number, news.configuration_digest)
     if hear_version(core.exchange, version, sender):
         query_documents(core, now_s)
-    take_readers(core.readers, core.identity.router_id, news.readers, now_s)
+    take_readers(core.source_readers, core.identity.router_id, news.readers, now_s)
     lacking = news.servers_order > core.discovery.source_order
-    if lacking and now_s >= core.readers.next_query_s:
-        core.readers.next_query_s = now_s + SERVERS_QUERY_INTERVAL_S
-        core.post.add(sender, ServersQuery(core.discovery.source_order))
+    if lacking and now_s >= core.source_readers.next_query_s:
+        core.source_readers.next_query_s = now_s + SERVERS_QUERY_INTERVAL_S
+        core.outbox.add(sender, ServersQuery(core.discovery.source_order))
 
 
 def take_servers_query(
@@ -114,14 +114,14 @@
     rows = tuple(_make_row(server, changes.lapsed) for server in changes.servers)
     zones = tuple(sorted(changes.evacuated_zones))
     reply = ServersReply(changes.order, changes.whole, rows, changes.gone, zones)
-    core.post.add(sender, reply)
+    core.outbox.add(sender, reply)
 
 
 def take_servers_reply(
     core: "RouterCore", sender: str, message: ServersReply, now_s: float
 ) -> None:
     """Take what a peer knows of the backend servers."""
-    core.readers.next_query_s = now_s
+    core.source_readers.next_query_s = now_s
     changes = ServerChanges(
         order=message.order,
         whole=message.whole,
@@ -130,7 +130,7 @@
         gone=message.gone,
         evacuated_zones=frozenset(message.evacuated_zones),
     )
-    if take_changes(core.discovery, changes, knows_outage(core.readers, now_s), now_s):
+    if take_changes(core.discovery, changes, knows_outage(core.source_readers, now_s), now_s):
         tell_servers(core, sender)
         _pass_on_news(core, sender)
 
@@ -140,20 +140,20 @@
     known = core.discovery.known
     leaving = tuple(sorted(name for name, server in known.items() if server.leaving))
     for name in leaving:
-        note_leaving(core.leaving, LeavingRow(name, 0), count_news(core.table))
+        note_leaving(core.leaving_servers, LeavingRow(name, 0), count_news(core.table))
     order = core.discovery.source_order
     zones = tuple(sorted(core.discovery.evacuated_zones))
-    core.out.add(BackendServersChanged(tuple(known), leaving, order, source, zones))
+    core.actions.add(BackendServersChanged(tuple(known), leaving, order, source, zones))
 
 
 def take_configuration(core: "RouterCore", result: Accepted | Rejected | None) -> None:
     """Tell the shell what became of a configuration."""
     if isinstance(result, Accepted):
-        core.out.add(ConfigurationChanged(result.configuration, result.source))
+        core.actions.add(ConfigurationChanged(result.configuration, result.source))
         if result.source != PLATFORM:
             _pass_on_news(core, result.source)
     if isinstance(result, Rejected):
-        core.out.add(ConfigurationRejected(result.number, result.findings))
+        core.actions.add(ConfigurationRejected(result.number, result.findings))
 
 
 def query_documents(core: "RouterCore", now_s: float) -> None:
@@ -164,9 +164,9 @@
     offer.next_query_s = now_s + DOCUMENT_QUERY_INTERVAL_S
     if offer.source == PLATFORM:
         for part in missing_parts(core.exchange):
-            core.out.add(FetchPart(part.key, part.digest))
+            core.actions.add(FetchPart(part.key, part.digest))
         return
-    core.post.add(offer.source, ConfigurationQuery(missing_digests(core.exchange)))
+    core.outbox.add(offer.source, ConfigurationQuery(missing_digests(core.exchange)))
 
 
 def _announce(core: "RouterCore") -> None:
@@ -177,7 +177,7 @@
 
 def _pass_on_news(core: "RouterCore", source: str) -> None:
     """Tell the own zone what a router of another one has told, which told only a few here."""
-    if core.options.source_readers and not core.is_near(source):
+    if core.options.source_readers and not core.is_in_own_zone(source):
         announce_near(core.probe_context())
 
 
--- a/packages/core/src/myrtlehook_core/process/statuses.py
+++ b/packages/core/src/myrtlehook_core/process/statuses.py
@@ -1,4 +1,4 @@
-"""What a router tells its operators about itself."""
+"""The status report of one router for its operators."""
 
 from dataclasses import dataclass
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerStatus:
-    """One backend server: its owner, and the leases on it if this router owns it."""
+    """One backend server, its owner and, if this router owns it, the leases on its slots."""
 
     backend_server: str
     pool: str
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QueueStatus:
-    """One workspace's queue and service in one pool."""
+    """One workspace's queue and received service in one pool."""
 
     workspace: str
     pool: str
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerStatus:
-    """What this router believes of another."""
+    """Another router, in the state that this router considers it to be in."""
 
     vm: str
     address: str
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RouterStatus:
-    """The whole status page."""
+    """The complete status report."""
 
     vm: str
     incarnation: int
@@ -63,7 +63,7 @@
 
 
 def describe_router(core: RouterCore) -> RouterStatus:
-    """Describe a router's present state for operators."""
+    """Return a router's current status."""
     return RouterStatus(
         vm=core.identity.router_id,
         incarnation=core.table.incarnation,
--- a/packages/router/src/myrtlehook_router/process/core_tasks.py
+++ b/packages/router/src/myrtlehook_router/process/core_tasks.py
@@ -78,7 +78,7 @@
         next_tick_s = clocks.now_s()
         while True:
             now_s = clocks.now_s()
-            due_s = max(self.core.find_next_grant(), now_s + SHORTEST_TURN_S)
+            due_s = max(self.core.find_next_grant_s(), now_s + SHORTEST_TURN_S)
             event = self._mailbox.take(max(min(next_tick_s, due_s) - now_s, 0.0))
             started_s = time.thread_time()
             self._take_turn(event)
@@ -128,7 +128,9 @@
     def _flush(self) -> None:
         unsent, self._unsent = self._unsent, {}
         for (router_id, address), messages in unsent.items():
-            self._peers.send(router_id, address, tuple(messages), self.core.is_near(router_id))
+            self._peers.send(
+                router_id, address, tuple(messages), self.core.is_in_own_zone(router_id)
+            )
 
     # -- actions --------------------------------------------------------------------
 
@@ -196,12 +198,12 @@
             servers=action.servers,
             leaving=action.leaving,
             evacuated_zones=action.evacuated_zones,
-            era=action.order.era,
-            revision=action.order.revision,
+            era=action.source_order.era,
+            revision=action.source_order.revision,
             source=action.source,
         )
 
-    def _note_cold(self, action: actions.ColdEngineNoted) -> None:
+    def _note_cold(self, action: actions.ColdEngineDetected) -> None:
         self._counters.add(f"engines.cold.{action.reason.replace(' ', '_')}")
         _log.info(
             "engine is cold",
@@ -210,7 +212,7 @@
             reason=action.reason,
         )
 
-    def _note_leaving(self, action: actions.ServerLeavingNoted) -> None:
+    def _note_leaving(self, action: actions.ServerLeavingReported) -> None:
         self._counters.add("backend.leaving")
         _log.info(
             "backend server leaves",
@@ -219,7 +221,7 @@
             request_id=action.request_id or None,
         )
 
-    def _note_backoff(self, action: actions.ServerBackoffNoted) -> None:
+    def _note_backoff(self, action: actions.ServerBackoffReported) -> None:
         self._counters.add("backend.backoff")
         left_s = action.until_s - clocks.now_s()
         _log.info(
@@ -268,7 +270,7 @@
             estimate_age_ms=estimate.age_ms,
         )
 
-    def _note_level(self, action: actions.ShareLevelNoted) -> None:
+    def _note_level(self, action: actions.ShareLevelReported) -> None:
         _log.info(
             "share level",
             pool=action.pool,
@@ -287,7 +289,7 @@
             },
         )
 
-    def _note_member(self, action: actions.MemberNoted) -> None:
+    def _note_member(self, action: actions.MemberStateChanged) -> None:
         change = action.change
         self._counters.add(f"members.{change.state.name.lower()}")
         _log.info(
@@ -300,11 +302,11 @@
             incarnation=change.incarnation,
         )
 
-    def _note_retry(self, action: actions.RetryNoted) -> None:
+    def _note_retry(self, action: actions.RequestRequeued) -> None:
         self._counters.add(f"retry.{action.reason}")
         _log.info("retry", request_id=action.request_id, reason=action.reason)
 
-    def _note_drop(self, action: actions.DropNoted) -> None:
+    def _note_drop(self, action: actions.MessageDropped) -> None:
         self._counters.add(f"drop.{DropReason(action.reason)}")
 
     def _note_ejection(self, action: actions.ServerEjected) -> None:
@@ -321,7 +323,7 @@
             ends=action.ends,
         )
 
-    def _note_quarantine(self, action: actions.QuarantineNoted) -> None:
+    def _note_quarantine(self, action: actions.QuarantineChanged) -> None:
         self._counters.add("quarantine.held" if action.ends else "quarantine.lifted")
         left_s = action.held_until_s - clocks.now_s()
         _log.warning(
@@ -332,7 +334,7 @@
             cause=action.cause,
         )
 
-    def _note_pause(self, action: actions.PauseNoticed) -> None:
+    def _note_pause(self, action: actions.PauseDetected) -> None:
         self._counters.add("process.paused")
         _log.warning("woke late", late_s=round(action.late_s, 3))
 
@@ -355,18 +357,18 @@
     actions.FetchPart: CoreTask._fetch_part,
     actions.ConfigurationChanged: CoreTask._note_configuration,
     actions.BackendServersChanged: CoreTask._note_servers,
-    actions.ColdEngineNoted: CoreTask._note_cold,
-    actions.ServerLeavingNoted: CoreTask._note_leaving,
-    actions.ServerBackoffNoted: CoreTask._note_backoff,
+    actions.ColdEngineDetected: CoreTask._note_cold,
+    actions.ServerLeavingReported: CoreTask._note_leaving,
+    actions.ServerBackoffReported: CoreTask._note_backoff,
     actions.ReadSource: CoreTask._read_source,
     actions.ConfigurationRejected: CoreTask._note_rejection,
     actions.AdmissionDecided: CoreTask._note_admission,
-    actions.ShareLevelNoted: CoreTask._note_level,
-    actions.MemberNoted: CoreTask._note_member,
-    actions.RetryNoted: CoreTask._note_retry,
-    actions.DropNoted: CoreTask._note_drop,
+    actions.ShareLevelReported: CoreTask._note_level,
+    actions.MemberStateChanged: CoreTask._note_member,
+    actions.RequestRequeued: CoreTask._note_retry,
+    actions.MessageDropped: CoreTask._note_drop,
     actions.ServerEjected: CoreTask._note_ejection,
     actions.ServerEndCounted: CoreTask._note_end,
-    actions.QuarantineNoted: CoreTask._note_quarantine,
-    actions.PauseNoticed: CoreTask._note_pause,
+    actions.QuarantineChanged: CoreTask._note_quarantine,
+    actions.PauseDetected: CoreTask._note_pause,
 }
--- a/tests/standins/engine_models.py
+++ b/tests/standins/engine_models.py
@@ -23,7 +23,7 @@
     Pool,
     PoolKind,
 )
-from myrtlehook_core.process.actions import Outbox
+from myrtlehook_core.process.actions import ActionList
 from myrtlehook_core.process.admission_messages import (
     AdmissionGrant,
     AdmissionProgress,
@@ -191,7 +191,7 @@
             options=self.options,
             configuration=self.configuration,
             reachable=lambda name: True,
-            out=Outbox(),
+            out=ActionList(),
             post=post,
         )
         work(context)
--- a/tests/standins/histories.py
+++ b/tests/standins/histories.py
@@ -196,7 +196,7 @@
         """What routers that are short of processor time know of that."""
         self.owners_refused = 0
         """How often an engine's owner has refused a request."""
-        self.levels_noted: list[actions.ShareLevelNoted] = []
+        self.levels_noted: list[actions.ShareLevelReported] = []
         """What accountants have told on-call."""
         self._configuration = make_configuration(tokens_per_s, cold_start)
         self._source = source
@@ -314,7 +314,7 @@
         if self.alive.get(name) is not core:
             return
         self.at(self.now_s + READ_INTERVAL_S, lambda: self._read_source(name, core, source))
-        if not core.readers.reading or name in source.silent_to:
+        if not core.source_readers.reading or name in source.silent_to:
             return
         source.calls[name] += 1
         if name in source.refuses:
@@ -338,7 +338,7 @@
             self._run(name, core, action)
         elif isinstance(action, actions.AdmissionDecided):
             self.owners_refused += action.retry_after_ms is not None
-        elif isinstance(action, actions.ShareLevelNoted):
+        elif isinstance(action, actions.ShareLevelReported):
             self.levels_noted.append(action)
 
     def _deliver(self, sender: str, core: RouterCore, action: actions.Send) -> None:
--- a/tests/steps/admission_steps.py
+++ b/tests/steps/admission_steps.py
@@ -125,7 +125,7 @@
         for name, core in history.alive.items():
             assert not core.admissions.open, (name, core.admissions.open)
             assert core.entry.queued_requests == 0, name
-            for load in core.queues.loads.values():
+            for load in core.engine_queues.loads.values():
                 assert not load.waiting and not load.granted, (name, load)
 
     check()
@@ -304,7 +304,7 @@
     history = History(1, routers=1, engines=1, network=Network(), options=options)
     history.run_until(1.5)
     core = history.alive[next(iter(history.alive))]
-    load = core.queues.loads["e0"]
+    load = core.engine_queues.loads["e0"]
     for _ in range(FAILURES_IN_A_ROW):
         note_end(load.health, True, history.now_s)
     history.run_until(history.now_s + LONGEST_EJECTION_S)
--- a/tests/steps/engine_model_steps.py
+++ b/tests/steps/engine_model_steps.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from myrtlehook_core import BackendServer
-from myrtlehook_core.process.actions import Outbox
+from myrtlehook_core.process.actions import ActionList
 from myrtlehook_core.process.admission_messages import HeldAdmissions
 from myrtlehook_core.process.engine_decisions import QueueContext
 from myrtlehook_core.process.engine_models import make_estimate
@@ -204,7 +204,7 @@
         options=context.new.options,
         configuration=context.new.configuration,
         reachable=lambda name: True,
-        out=Outbox(),
+        out=ActionList(),
         post=MessageOutbox(),
     )
     apply_held_admissions(context.new.queues, queue_context, ROUTER, message, context.new.now_s)
--- a/tests/steps/entry_steps.py
+++ b/tests/steps/entry_steps.py
@@ -116,7 +116,7 @@
     context.history = History(1, 1, 0, Network(), CoreOptions(source_readers=4), source)
     context.history.run_until(2.0)
     core = next(iter(context.history.alive.values()))
-    load = core.queues.loads[context.first]
+    load = core.engine_queues.loads[context.first]
     load.health.failures = 9
     load.health.ejected_until_s = 1e9
     core.admissions.recent_parts[context.first] = {}
@@ -133,8 +133,8 @@
 @then("nothing that was believed of the earlier start holds")
 def check_forgotten(context: Any) -> None:
     core = next(iter(context.history.alive.values()))
-    assert list(core.queues.loads) == [context.second], core.queues.loads
-    assert core.queues.loads[context.second].health.failures == 0
+    assert list(core.engine_queues.loads) == [context.second], core.engine_queues.loads
+    assert core.engine_queues.loads[context.second].health.failures == 0
     assert context.first not in core.admissions.recent_parts
 
 
--- a/tests/steps/passer_steps.py
+++ b/tests/steps/passer_steps.py
@@ -164,7 +164,9 @@
 
 @then('the core has told that it is "{first}", "{second}" and "{third}"')
 def check_told(context: Any, first: str, second: str, third: str) -> None:
-    changes = [action.change for action in context.told if isinstance(action, actions.MemberNoted)]
+    changes = [
+        action.change for action in context.told if isinstance(action, actions.MemberStateChanged)
+    ]
     told = [f"{change.state.name.lower()}: {change.cause}" for change in changes]
     assert told == [first, second, third], changes
     assert all(change.router_id == NEIGHBOUR for change in changes), changes
--- a/tests/steps/source_steps.py
+++ b/tests/steps/source_steps.py
@@ -31,7 +31,7 @@
 
 def _readers(context: Any) -> list[str]:
     alive = context.history.alive.items()
-    return [name for name, core in alive if core.readers.reading]
+    return [name for name, core in alive if core.source_readers.reading]
 
 
 def _source(context: Any) -> Source:
