--- a/bench/core_drive.py
+++ b/bench/core_drive.py
@@ -132,7 +132,7 @@
         for member in core.table.members.values():
             # All are known from the start, so that the drive measures the steady state.
             member.state = type(member.state).ALIVE
-            member.silent = False
+            member.unconfirmed = False
         core.table.version += 1
         self.cores[name] = core
         self._at(self.draw.random() * TICK_S, lambda: self._tick(name))
--- a/bench/notice_slopes.py
+++ b/bench/notice_slopes.py
@@ -13,10 +13,10 @@
 from myrtlehook_core.process.backoffs import Backoffs, find_pool_backoff_s, record_backoff
 from myrtlehook_core.process.leaving_servers import (
     LeavingServers,
-    forget_left,
-    make_row,
+    forget_removed_servers,
+    make_leaving_row,
     mark_leaving,
-    note_leaving,
+    record_leaving,
 )
 from myrtlehook_core.process.membership_messages import LeavingNotice, News, Probe
 from myrtlehook_core.process.messages import Bid, Envelope, Message
@@ -49,7 +49,7 @@
     )
     leaving = LeavingServers()
     for server in servers[:LEAVING]:
-        note_leaving(leaving, make_row(leaving, server.name), 1)
+        record_leaving(leaving, make_leaving_row(leaving, server.name), 1)
     backoffs: Backoffs = {}
     for server in servers[: BACKED_OFF * POOLS : POOLS]:
         record_backoff(backoffs, server.name, server.pool, 3.0)
@@ -61,7 +61,9 @@
         _time("the sweep over 100 that leave", lambda: _sweep(leaving, configuration)),
         _time("a request, no backoff", lambda: _wait(none, configuration)),
         _time("a request, 20 backoffs", lambda: _wait(backoffs, configuration)),
-        Slope("a notice to an owner", _size(LeavingNotice(make_row(leaving, NAME))), "bytes"),
+        Slope(
+            "a notice to an owner", _size(LeavingNotice(make_leaving_row(leaving, NAME))), "bytes"
+        ),
         Slope("a leaving server on a probe", _probe(leaving, 10) / 10, "bytes"),
         Slope("a server named in a bid", _bid(barred) / BACKED_OFF, "bytes"),
     ]
@@ -77,7 +79,7 @@
 
 
 def _sweep(leaving: LeavingServers, configuration: Configuration) -> None:
-    forget_left(leaving, configuration.backend_servers, 1.0)
+    forget_removed_servers(leaving, configuration.backend_servers, 1.0)
 
 
 def _wait(backoffs: Backoffs, configuration: Configuration) -> None:
@@ -85,7 +87,7 @@
 
 
 def _probe(leaving: LeavingServers, count: int) -> int:
-    rows = tuple(make_row(leaving, NAME) for _ in range(count))
+    rows = tuple(make_leaving_row(leaving, NAME) for _ in range(count))
     full, empty = (Probe(1, News((), told, 5, "0" * 16)) for told in (rows, ()))
     return _size(full) - _size(empty)
 
--- a/bench/quarantine_slopes.py
+++ b/bench/quarantine_slopes.py
@@ -9,12 +9,12 @@
 from myrtlehook_core.process.membership_messages import News, Probe
 from myrtlehook_core.process.messages import Envelope
 from myrtlehook_core.process.quarantine import (
-    SUSPECTS,
+    MAX_SUSPECTS,
     Quarantine,
-    collect_rows,
+    collect_quarantine_rows,
     count_end,
-    hold,
-    note_sound_run,
+    hold_request,
+    record_sound_run,
 )
 from myrtlehook_core.process.quarantine_messages import QuarantineRow, ServerEndReport
 
@@ -31,14 +31,14 @@
     quarantine = Quarantine(first_serial=1)
     print_of = fingerprint_request("workspace", "POST", "/summary/week", body)
     report = ServerEndReport(print_of, "i-724948be74@1796262595649", 80, 1)
-    for number in range(SUSPECTS):
+    for number in range(MAX_SUSPECTS):
         other = ServerEndReport(number.to_bytes(16, "big"), "i-1", 80, 1)
         count_end(quarantine, other, 1.0)
     slopes = [
         _time("fingerprint of 2,000 bytes", lambda: _fingerprint(body)),
         _time("collectors of one request among 1,200", lambda: _rank(routers, print_of)),
         _time("an end counted", lambda: _count(quarantine, report)),
-        _time("a run that ended well", lambda: note_sound_run(quarantine, print_of, 1.0)),
+        _time("a run that ended well", lambda: record_sound_run(quarantine, print_of, 1.0)),
     ]
     return [*slopes, *_measure_bytes(report)]
 
@@ -49,8 +49,8 @@
         fingerprint = number.to_bytes(16, "big")
         suspect = count_end(quarantine, ServerEndReport(fingerprint, "i-1", 80, 1), 1.0)
         assert suspect is not None
-        hold(quarantine, fingerprint, suspect, 1.0)
-    rows = collect_rows(quarantine, 1.5)
+        hold_request(quarantine, fingerprint, suspect, 1.0)
+    rows = collect_quarantine_rows(quarantine, 1.5)
     return [
         Slope("end report on the wire", _size(report), "bytes"),
         Slope("a held request on a probe", (_probe(rows) - _probe(())) / HELD, "bytes"),
--- a/packages/core/src/myrtlehook_core/process/addresses.py
+++ b/packages/core/src/myrtlehook_core/process/addresses.py
@@ -5,20 +5,20 @@
 
 
 class Listener(Protocol):
-    """An IP number and a port, from whichever settings."""
+    """Anything with an IP address and a port, such as parts of the settings."""
 
     @property
     def address(self) -> str:
-        """IP number."""
+        """The IP address."""
 
     @property
     def port(self) -> int:
-        """Port."""
+        """The port number."""
 
 
 @dataclass(frozen=True, slots=True)
 class ListenAddress:
-    """An IP number and a port."""
+    """An IP address and a port to listen on."""
 
     address: str
     port: int
--- a/packages/core/src/myrtlehook_core/process/admission_ends.py
+++ b/packages/core/src/myrtlehook_core/process/admission_ends.py
@@ -9,7 +9,7 @@
 )
 from myrtlehook_core.process.events import RunEnded
 from myrtlehook_core.process.ingress import get_account, make_pool_key, update_queue_counts
-from myrtlehook_core.process.quarantine import find_hold_s
+from myrtlehook_core.process.quarantine import find_remaining_hold_s
 from myrtlehook_core.process.refusals import find_retry_wait_s, refuse_with_wait
 from myrtlehook_core.process.share_standings import count_refused_request
 from myrtlehook_core.request.charges import settle_charge
@@ -55,7 +55,7 @@
     del admissions.open[request.request_id]
     _close_admission(context, admission, ran=False)
     entry_context = context.entry_context
-    held_s = find_hold_s(entry_context.quarantine, request.fingerprint, now_s)
+    held_s = find_remaining_hold_s(entry_context.quarantine, request.fingerprint, now_s)
     backoff_s = find_retry_wait_s(context.entry, entry_context, request, now_s)
     wait_s = held_s or max(admission.retry_after_s, backoff_s)
     refuse_with_wait(context.entry_context, request, reason, wait_s)
--- a/packages/core/src/myrtlehook_core/process/ejections.py
+++ b/packages/core/src/myrtlehook_core/process/ejections.py
@@ -1,51 +1,53 @@
-"""Backend servers that fail again and again are left alone for a while.
+"""Temporary ejection of backend servers that fail repeatedly (a circuit breaker).
 
-Each owner judges the servers that it owns, from the ends that all entries tell it. After
-a few failures in a row a server gets nothing for a time that doubles with each further
-failure; then one request at a time tries it, until one succeeds.
+Each owner tracks the health of the servers that it owns by how requests ended there, as all
+ingress routers report it. After several consecutive failures a server gets no requests for a
+time that doubles with each further failure. After that it gets one request at a time until one
+succeeds.
 """
 
 from dataclasses import dataclass
 
-FAILURES_IN_A_ROW = 3
+FAILURES_TO_EJECT = 3
 FIRST_EJECTION_S = 0.5
-LONGEST_EJECTION_S = 4.0
+MAX_EJECTION_S = 4.0
 
 
 @dataclass(slots=True)
 class ServerHealth:
-    """What the ends of requests have shown of one server."""
+    """The health of one backend server, as the outcomes of its requests show it."""
 
-    failures: int = 0
-    """In a row."""
+    consecutive_failures: int = 0
+    """The number of consecutive failures."""
     ejected_until_s: float = 0.0
 
     @property
-    def suspect(self) -> bool:
-        """Whether the server has to prove itself before it is trusted again."""
-        return self.failures >= FAILURES_IN_A_ROW
+    def is_failing(self) -> bool:
+        """Whether the server gets one request at a time until one succeeds."""
+        return self.consecutive_failures >= FAILURES_TO_EJECT
 
 
-def note_end(health: ServerHealth, failed: bool, now_s: float) -> bool:
-    """Note how a request at the server ended; True when it is ejected by that."""
+def record_outcome(health: ServerHealth, failed: bool, now_s: float) -> bool:
+    """Record how a request at the server ended; return True if this ejects the server."""
     if not failed:
-        health.failures = 0
+        health.consecutive_failures = 0
         health.ejected_until_s = 0.0
         return False
     if now_s < health.ejected_until_s:
-        # It was sent before, and tells nothing new: a crash ends many requests at once.
+        # The request was sent before the ejection, so its failure is no new evidence: a crash
+        # ends many requests at once.
         return False
-    health.failures += 1
-    if not health.suspect:
+    health.consecutive_failures += 1
+    if not health.is_failing:
         return False
-    doublings = health.failures - FAILURES_IN_A_ROW
-    ejection_s = min(FIRST_EJECTION_S * 2.0**doublings, LONGEST_EJECTION_S)
+    doublings = health.consecutive_failures - FAILURES_TO_EJECT
+    ejection_s = min(FIRST_EJECTION_S * 2.0**doublings, MAX_EJECTION_S)
     health.ejected_until_s = now_s + ejection_s
     return True
 
 
-def may_use(health: ServerHealth, running: int, now_s: float) -> bool:
-    """Tell whether a server may get one more request."""
+def may_send_request(health: ServerHealth, running_requests: int, now_s: float) -> bool:
+    """Return whether a server may get one more request."""
     if now_s < health.ejected_until_s:
         return False
-    return not health.suspect or running == 0
+    return not health.is_failing or running_requests == 0
--- a/packages/core/src/myrtlehook_core/process/engine_decisions.py
+++ b/packages/core/src/myrtlehook_core/process/engine_decisions.py
@@ -8,7 +8,7 @@
 from myrtlehook_core.process.admission_messages import AdmissionGrant, AdmissionRefusal
 from myrtlehook_core.process.aim_demands import SHORTER_AIM_FRACTION, find_shortest_aim_s
 from myrtlehook_core.process.cold_engines import find_next_grant_s, is_cold, record_grant
-from myrtlehook_core.process.ejections import may_use
+from myrtlehook_core.process.ejections import may_send_request
 from myrtlehook_core.process.engine_forecasts import forecast_waiting, order_waiting
 from myrtlehook_core.process.engine_loads import (
     MAX_MEMORY_FRACTION,
@@ -66,7 +66,7 @@
         if not _has_capacity(context, server, load, waiting, now_s):
             return
         _grant(context, name, load, waiting, now_s)
-        if load.health.suspect or is_cold(load.pace, now_s):
+        if load.health.is_failing or is_cold(load.pace, now_s):
             # A suspect engine is tried with one request at a time; a cold one gets one per
             # grant interval.
             return
@@ -108,7 +108,7 @@
     It is also refused when it would make a request late that was queued before. Both are
     decided on arrival, since a refusal helps the client only while its request is young.
     """
-    if not _is_usable(context, name) or not may_use(load.health, len(load.granted), now_s):
+    if not _is_usable(context, name) or not may_send_request(load.health, len(load.granted), now_s):
         _refuse(queues, context, name, load, waiting, now_s, now_s)
         return False
     if not context.options.refuses_at_arrival:
@@ -172,7 +172,7 @@
 def _may_grant(
     context: QueueContext, server: BackendServer, load: EngineLoad, now_s: float
 ) -> bool:
-    if not may_use(load.health, len(load.granted), now_s):
+    if not may_send_request(load.health, len(load.granted), now_s):
         return False
     if server.leaving:
         return False
@@ -301,7 +301,7 @@
     del load.waiting[waiting.request_id]
     if not waiting.eager:
         queues.refused_until_s[compute_fingerprint(waiting)] = now_s + REFUSAL_MEMORY_S
-    sound = _is_usable(context, name) and not load.health.suspect
+    sound = _is_usable(context, name) and not load.health.is_failing
     kept = count_cached_tokens(load.cache, waiting.parts) if sound else 0
     refusal = AdmissionRefusal(waiting.request_id, name, wait_ms, kept, waiting.eager)
     context.post.add(waiting.router_id, refusal)
--- a/packages/core/src/myrtlehook_core/process/engine_queues.py
+++ b/packages/core/src/myrtlehook_core/process/engine_queues.py
@@ -19,7 +19,7 @@
 )
 from myrtlehook_core.process.aim_demands import record_aim_demand
 from myrtlehook_core.process.cold_engines import make_pace, mark_cold
-from myrtlehook_core.process.ejections import note_end
+from myrtlehook_core.process.ejections import record_outcome
 from myrtlehook_core.process.engine_decisions import (
     EngineQueues,
     QueueContext,
@@ -120,7 +120,7 @@
         _record_engine_alive(context, message.backend_server, load, now_s)
         record_answer_begun(load, message.request_id, context.options.learns_engines, now_s)
         # A suspect engine that begins an answer is healthy again.
-        note_end(load.health, False, now_s)
+        record_outcome(load.health, False, now_s)
         grant_waiting(context, message.backend_server, load, now_s)
 
 
@@ -137,7 +137,7 @@
     known = end_granted(load, message.request_id, ran and context.options.learns_engines, now_s)
     ended = known and (message.ran or message.failed)
     failed = message.failed and context.options.ejects_servers
-    if ended and note_end(load.health, failed, now_s):
+    if ended and record_outcome(load.health, failed, now_s):
         context.out.add(ServerEjected(message.backend_server, load.health.ejected_until_s))
     grant_waiting(context, message.backend_server, load, now_s)
 
@@ -194,7 +194,7 @@
     """Record that an engine begins an answer, and mark it cold if it may have been down."""
     oldest = next(iter(load.reading), "")
     silent = load.suspected_down or is_answer_overdue(load, oldest, now_s)
-    reason = "failed before" if load.health.suspect else "was silent" if silent else ""
+    reason = "failed before" if load.health.is_failing else "was silent" if silent else ""
     load.suspected_down = False
     load.last_answer_at_s = now_s
     until_s = now_s + load.pace.default_cold_s
--- a/packages/core/src/myrtlehook_core/process/event_handlers.py
+++ b/packages/core/src/myrtlehook_core/process/event_handlers.py
@@ -29,9 +29,9 @@
     drop_idle_queues,
 )
 from myrtlehook_core.process.leaving_servers import (
-    forget_left,
-    note_incarnation,
-    note_leaving,
+    forget_removed_servers,
+    record_incarnation,
+    record_leaving,
 )
 from myrtlehook_core.process.ledgers import drop_idle_accounts
 from myrtlehook_core.process.members import (
@@ -39,7 +39,7 @@
     StateCause,
     add_candidate,
     change_state,
-    count_news,
+    compute_news_sends,
 )
 from myrtlehook_core.process.membership_messages import LeavingRow
 from myrtlehook_core.process.messages import Release
@@ -50,14 +50,14 @@
     tick_owner,
 )
 from myrtlehook_core.process.probing import (
-    announce,
+    announce_news,
     tick_prober,
 )
-from myrtlehook_core.process.quarantine import forget_old
+from myrtlehook_core.process.quarantine import forget_old_evidence
 from myrtlehook_core.process.quarantine_handlers import (
-    note_completed,
     on_server_ended,
-    repeat_sound_reports,
+    record_completed_request,
+    resend_sound_run_reports,
 )
 from myrtlehook_core.process.refusals import refuse_unservable
 from myrtlehook_core.process.runs import (
@@ -76,9 +76,9 @@
     on_servers,
     on_source_answered,
     on_source_failed,
-    query_documents,
+    query_missing_documents,
+    report_configuration,
     sweep_source,
-    take_configuration,
     tick_source,
 )
 from myrtlehook_core.request.requests import RequestSpecification
@@ -132,7 +132,7 @@
     context = core.admission_context()
     request = _find_running_request(core, event.request_id)
     if event.completed and request is not None:
-        note_completed(core, request, now_s)
+        record_completed_request(core, request, now_s)
     if end_admission(core.admissions, context, event, now_s):
         return
     ended = end_run(core.entry, event.request_id, event.cost_units, now_s, event.failed)
@@ -161,10 +161,10 @@
 
 
 def _on_load(core: "RouterCore", event: events.LoadReported, now_s: float) -> None:
-    note_incarnation(core.leaving_servers, event.backend_server, event.incarnation)
+    record_incarnation(core.leaving_servers, event.backend_server, event.incarnation)
     if event.leaving:
         row = LeavingRow(event.backend_server, event.incarnation)
-        note_leaving(core.leaving_servers, row, count_news(core.table))
+        record_leaving(core.leaving_servers, row, compute_news_sends(core.table))
     receive_load(core.owner, core.owner_context(), event, now_s)
     order = find_order(core.configuration, event)
     if order is not None and event.backend_server in core.owner.servers:
@@ -193,13 +193,13 @@
 
 def _on_manifest(core: "RouterCore", event: events.ManifestRead, now_s: float) -> None:
     result = take_manifest(core.exchange, event.text, PLATFORM)
-    take_configuration(core, result)
+    report_configuration(core, result)
     if result is None:
-        query_documents(core, now_s)
+        query_missing_documents(core, now_s)
 
 
 def _on_part(core: "RouterCore", event: events.PartRead, now_s: float) -> None:
-    take_configuration(core, take_document(core.exchange, event.text, PLATFORM))
+    report_configuration(core, take_document(core.exchange, event.text, PLATFORM))
 
 
 def _on_seeds(core: "RouterCore", event: events.SeedsNamed, now_s: float) -> None:
@@ -209,7 +209,7 @@
 def _on_drain(core: "RouterCore", event: events.DrainStarted, now_s: float) -> None:
     core.table.draining = True
     core.table.version += 1
-    announce(core.probe_context())
+    announce_news(core.probe_context())
 
 
 def _on_grants_due(core: "RouterCore", event: events.GrantsDue, now_s: float) -> None:
@@ -268,10 +268,10 @@
     refuse_unservable(core.entry, core.entry_context(), now_s)
     drop_idle_queues(core.entry, now_s, core.options.idle_drop_s)
     drop_idle_accounts(core.ledger, now_s, core.options)
-    forget_old(core.quarantine, now_s)
-    forget_left(core.leaving_servers, core.configuration.backend_servers, now_s)
+    forget_old_evidence(core.quarantine, now_s)
+    forget_removed_servers(core.leaving_servers, core.configuration.backend_servers, now_s)
     drop_ended_backoffs(core.entry.backoffs, now_s)
-    repeat_sound_reports(core, now_s)
+    resend_sound_run_reports(core, now_s)
     sweep_source(core, now_s)
 
 
--- a/packages/core/src/myrtlehook_core/process/members.py
+++ b/packages/core/src/myrtlehook_core/process/members.py
@@ -1,4 +1,4 @@
-"""The member table: what this router believes of the others."""
+"""The member table: the known state of every other router."""
 
 import math
 from dataclasses import dataclass, field
@@ -6,52 +6,52 @@
 
 from myrtlehook_core.process.membership_messages import MemberRow
 
-NEWS_ROWS = 16
-"""Most member rows that ride on one probe."""
+MAX_NEWS_ROWS = 16
+"""The greatest number of rows of fresh member news that one message carries."""
 
-NEWS_FACTOR = 3
-"""Each piece of news rides on this many times log2(fleet) probes."""
+NEWS_SENDS_FACTOR = 3
+"""Each member's news is sent on this factor times log2(fleet size) messages."""
 
 
 class MemberState(IntEnum):
-    """Order of precedence within one incarnation: a later state overrides."""
+    """States of a member; within one incarnation a greater value overrides a lesser one."""
 
     ALIVE = 0
     SUSPECT = 1
     DEAD = 2
     LEAVING = 3
-    """Draining: still an entry, but owns nothing; never reverts in its incarnation."""
+    """Draining: still an ingress router, but owns nothing. Final for this incarnation."""
 
 
 class StateCause(StrEnum):
-    """What a changed belief in a member rests on."""
+    """Why a member's state changed."""
 
     TOLD = "told"
-    """News of it, from itself or from another router."""
+    """The member itself or another router reported the new state."""
     UNANSWERED = "unanswered"
-    """It answered neither this router's probe nor those of others for this router."""
+    """It answered neither this router's probe nor the indirect probes through helpers."""
     UNREFUTED = "unrefuted"
-    """It was suspected, and nothing said otherwise in time."""
+    """It was a suspect, and no refutation arrived before the suspicion timed out."""
     LISTED = "listed"
-    """The platform's VM list says so."""
+    """The platform's VM list reports the new state."""
 
 
 @dataclass(frozen=True, slots=True)
 class MemberChange:
-    """One changed belief in a member."""
+    """A change of one member's state."""
 
     router_id: str
-    before: MemberState
+    previous_state: MemberState
     state: MemberState
     cause: StateCause
-    held_s: float
-    """How long the earlier belief had lasted."""
+    previous_state_age_s: float
+    """How long the member had been in the earlier state."""
     incarnation: int
 
 
 @dataclass(frozen=True, slots=True)
 class RouterIdentity:
-    """Who this router is."""
+    """The id, address and incarnation under which this router joins the fleet."""
 
     router_id: str
     address: str
@@ -62,7 +62,7 @@
 
 @dataclass(slots=True)
 class Member:
-    """One other router."""
+    """One other router, as this router knows it."""
 
     router_id: str
     address: str
@@ -72,32 +72,32 @@
     changed_at_s: float = 0.0
     listed: bool = False
     """The platform's VM list names it."""
-    news_left: int = 0
-    silent: bool = False
-    """Never heard of but through the VM list."""
-    gone: bool = False
-    """Was leaving and answers no more: nothing is sent to it until it is news again."""
+    news_sends_left: int = 0
+    unconfirmed: bool = False
+    """Known only from the VM list or the settings; no router has reported it yet."""
+    has_left: bool = False
+    """It was leaving and no longer answers; it receives nothing until newer news of it arrives."""
     availability_zone: str = ""
 
 
 @dataclass(slots=True)
 class MemberTable:
-    """All members, with a version that moves whenever ownership may move."""
+    """All other members, with a version that increases whenever ownership may change."""
 
     identity: RouterIdentity
     incarnation: int
     members: dict[str, Member] = field(default_factory=dict)
-    fresh: dict[str, Member] = field(default_factory=dict)
-    """Members that are news; kept so that a probe need not search the whole table."""
+    members_with_news: dict[str, Member] = field(default_factory=dict)
+    """Members whose news is still to be sent, so that a probe need not search the whole table."""
     suspects: dict[str, Member] = field(default_factory=dict)
-    changes: list[MemberChange] = field(default_factory=list)
-    """Changed beliefs that the core has not told yet."""
+    unreported_changes: list[MemberChange] = field(default_factory=list)
+    """State changes that the core has not reported as actions yet."""
     draining: bool = False
     version: int = 0
     cached_eligible: tuple[int, tuple[str, ...]] = (-1, ())
 
 
-def eligible_routers(table: MemberTable) -> tuple[str, ...]:
+def list_eligible_routers(table: MemberTable) -> tuple[str, ...]:
     """Return the routers that may own backend servers and ledgers, in name order."""
     if table.cached_eligible[0] == table.version:
         return table.cached_eligible[1]
@@ -113,16 +113,16 @@
     return eligible
 
 
-def list_zones(table: MemberTable) -> dict[str, tuple[str, ...]]:
+def group_routers_by_zone(table: MemberTable) -> dict[str, tuple[str, ...]]:
     """Return the routers that may own backend servers, by availability zone, in name order."""
     zones: dict[str, list[str]] = {}
-    for router_id in eligible_routers(table):
+    for router_id in list_eligible_routers(table):
         zones.setdefault(find_zone(table, router_id), []).append(router_id)
     return {zone: tuple(names) for zone, names in zones.items()}
 
 
 def find_zone(table: MemberTable, router_id: str) -> str:
-    """Return where a router stands; empty when that is not known."""
+    """Return a router's availability zone, or an empty string when it is not known."""
     if router_id == table.identity.router_id:
         return table.identity.availability_zone
     member = table.members.get(router_id)
@@ -130,13 +130,13 @@
 
 
 def find_state(table: MemberTable, router_id: str) -> MemberState | None:
-    """Return what is believed of another router; None when it is not known."""
+    """Return the state of another router, or None when the router is not known."""
     member = table.members.get(router_id)
     return None if member is None else member.state
 
 
 def is_reachable(table: MemberTable, router_id: str) -> bool:
-    """Tell whether messages to a router are worth sending."""
+    """Return whether a router may receive messages: itself, or a member that may answer."""
     if router_id == table.identity.router_id:
         return True
     member = table.members.get(router_id)
@@ -144,19 +144,19 @@
 
 
 def can_probe(member: Member) -> bool:
-    """Tell whether a member may still answer."""
-    return member.state is not MemberState.DEAD and not member.gone
+    """Return whether a member may still answer."""
+    return member.state is not MemberState.DEAD and not member.has_left
 
 
 def forget_member(table: MemberTable, router_id: str) -> None:
-    """Drop a member that is gone for good."""
+    """Remove a member from the table."""
     table.members.pop(router_id, None)
-    table.fresh.pop(router_id, None)
+    table.members_with_news.pop(router_id, None)
     table.suspects.pop(router_id, None)
 
 
-def own_row(table: MemberTable) -> MemberRow:
-    """Return this router's news of itself."""
+def make_own_row(table: MemberTable) -> MemberRow:
+    """Return this router's row about itself."""
     state = MemberState.LEAVING if table.draining else MemberState.ALIVE
     identity = table.identity
     return _make_row(
@@ -164,8 +164,8 @@
     )
 
 
-def member_row(member: Member) -> MemberRow:
-    """Return the news of one member."""
+def make_member_row(member: Member) -> MemberRow:
+    """Return the row about one member."""
     return _make_row(
         member.router_id,
         member.address,
@@ -176,19 +176,19 @@
 
 
 def add_candidate(table: MemberTable, router_id: str, address: str, now_s: float) -> None:
-    """Note a router that the VM list or the settings name; it is probed before it counts."""
+    """Add a router that the VM list or the settings name; it is dead until reported alive."""
     if router_id == table.identity.router_id or router_id in table.members:
         return
     table.members[router_id] = Member(
-        router_id, address, 0, MemberState.DEAD, changed_at_s=now_s, listed=True, silent=True
+        router_id, address, 0, MemberState.DEAD, changed_at_s=now_s, listed=True, unconfirmed=True
     )
 
 
-def take_row(table: MemberTable, row: MemberRow, now_s: float, suspicion_s: float) -> None:
-    """Take one row of news into the table.
+def apply_member_row(table: MemberTable, row: MemberRow, now_s: float, suspicion_s: float) -> None:
+    """Apply a received member row to the table, unless it is no newer than the known state.
 
-    A row of this router that says anything but alive is refuted with a greater
-    incarnation.
+    A row about this router that overrides its own state is refuted by an incarnation
+    greater than that of the row.
     """
     if row.router_id == table.identity.router_id:
         _refute(table, row)
@@ -207,8 +207,8 @@
     member.incarnation = row.incarnation
     member.address = address
     member.availability_zone = row.availability_zone
-    member.silent = False
-    member.gone = False
+    member.unconfirmed = False
+    member.has_left = False
     change_state(table, member, state, StateCause.TOLD, now_s, suspicion_s)
 
 
@@ -220,13 +220,13 @@
     now_s: float,
     suspicion_s: float,
 ) -> None:
-    """Set a member's state and queue the news of it."""
+    """Set a member's state, and queue the change to be sent with later messages."""
     if state is not member.state:
-        held_s = now_s - member.changed_at_s
+        previous_state_age_s = now_s - member.changed_at_s
         change = MemberChange(
-            member.router_id, member.state, state, cause, held_s, member.incarnation
+            member.router_id, member.state, state, cause, previous_state_age_s, member.incarnation
         )
-        table.changes.append(change)
+        table.unreported_changes.append(change)
     member.state = state
     member.changed_at_s = now_s
     member.suspect_deadline_s = math.inf
@@ -234,39 +234,43 @@
     if state is MemberState.SUSPECT:
         member.suspect_deadline_s = now_s + suspicion_s
         table.suspects[member.router_id] = member
-    member.news_left = count_news(table)
-    table.fresh[member.router_id] = member
+    member.news_sends_left = compute_news_sends(table)
+    table.members_with_news[member.router_id] = member
     table.version += 1
 
 
-def collect_member_news(table: MemberTable, about: str) -> tuple[MemberRow, ...]:
-    """Pick the rows for one probe: own row, the receiver's if it must refute, fresh news."""
-    rows = [own_row(table)]
-    receiver = table.members.get(about)
+def collect_member_news(table: MemberTable, receiver_id: str) -> tuple[MemberRow, ...]:
+    """Return the rows for one message, and count them as sent.
+
+    These are this router's own row, the receiver's row if it is considered suspect or dead, so
+    that it can refute that, and the freshest news.
+    """
+    rows = [make_own_row(table)]
+    receiver = table.members.get(receiver_id)
     if receiver is not None and receiver.state in (MemberState.SUSPECT, MemberState.DEAD):
-        rows.append(member_row(receiver))
-    fresh = sorted(table.fresh.values(), key=lambda member: -member.news_left)
-    for member in fresh[:NEWS_ROWS]:
-        member.news_left -= 1
-        rows.append(member_row(member))
-        if member.news_left <= 0:
-            del table.fresh[member.router_id]
+        rows.append(make_member_row(receiver))
+    fresh = sorted(table.members_with_news.values(), key=lambda member: -member.news_sends_left)
+    for member in fresh[:MAX_NEWS_ROWS]:
+        member.news_sends_left -= 1
+        rows.append(make_member_row(member))
+        if member.news_sends_left <= 0:
+            del table.members_with_news[member.router_id]
     return tuple(rows)
 
 
 def _make_row(
     router_id: str, address: str, incarnation: int, state: MemberState, zone: str
 ) -> MemberRow:
-    told_address = "" if address == router_id else address
-    return MemberRow(router_id, told_address, incarnation, int(state), zone)
+    sent_address = "" if address == router_id else address
+    return MemberRow(router_id, sent_address, incarnation, int(state), zone)
 
 
 def _refute(table: MemberTable, row: MemberRow) -> None:
-    mine = own_row(table)
-    if (row.incarnation, row.state) > (mine.incarnation, mine.state):
+    own_row = make_own_row(table)
+    if (row.incarnation, row.state) > (own_row.incarnation, own_row.state):
         table.incarnation = row.incarnation + 1
 
 
-def count_news(table: MemberTable) -> int:
-    """Return on how many probes a piece of news rides, so that all are likely to hear it."""
-    return NEWS_FACTOR * math.ceil(math.log2(len(table.members) + 2))
+def compute_news_sends(table: MemberTable) -> int:
+    """Return on how many messages a change is sent, so that it is likely to reach all routers."""
+    return NEWS_SENDS_FACTOR * math.ceil(math.log2(len(table.members) + 2))
--- a/packages/core/src/myrtlehook_core/process/membership_messages.py
+++ b/packages/core/src/myrtlehook_core/process/membership_messages.py
@@ -1,4 +1,4 @@
-"""Messages by which routers find and watch each other; see ``messages`` for the rules."""
+"""Messages of membership and failure detection; see ``messages`` for the rules."""
 
 import msgspec
 
@@ -8,53 +8,53 @@
 
 
 class MemberRow(msgspec.Struct, frozen=True, array_like=True):
-    """News of one router."""
+    """The state of one router, as the sender knows it."""
 
     router_id: str
     address: str
-    """Empty when it is the id: a row rides on every probe."""
+    """Empty when it equals the id, to save bytes: every probe carries rows."""
     incarnation: int
     state: int
     availability_zone: str = ""
 
 
 class LeavingRow(msgspec.Struct, frozen=True, array_like=True):
-    """A backend server that said it is leaving, in this incarnation of it."""
+    """A backend server that has announced, in this incarnation, that it is leaving."""
 
     backend_server: str
     incarnation: int
 
 
 class LeavingNotice(msgspec.Struct, frozen=True, array_like=True, tag=30):
-    """Tells a backend server's owner what an answer has told the sender."""
+    """Reports to a backend server's owner that the server announced in an answer that it leaves."""
 
     row: LeavingRow
 
 
 class News(msgspec.Struct, frozen=True, array_like=True):
-    """What rides on probes."""
+    """State that routers spread by gossip: it is carried by probes and their acknowledgements."""
 
     members: tuple[MemberRow, ...]
     leaving: tuple[LeavingRow, ...]
     configuration_number: int
     configuration_digest: str
     servers_order: SourceOrder = NO_ORDER
-    """Of the source, at which the sender knows the backend servers."""
+    """The source's order up to which the sender knows the backend servers."""
     readers: tuple[ReaderRow, ...] = ()
-    """Routers that read the source."""
+    """Routers that read the configuration source."""
     quarantine: tuple[QuarantineRow, ...] = ()
-    """Requests that are refused because servers ended under them."""
+    """Requests that are quarantined because servers ended while running them, or just released."""
 
 
 class Probe(msgspec.Struct, frozen=True, array_like=True, tag=9):
-    """Asks for an acknowledgement."""
+    """Asks the receiver for an acknowledgement."""
 
     probe_id: int
     news: News
 
 
 class Ack(msgspec.Struct, frozen=True, array_like=True, tag=10):
-    """Says that ``target`` answered."""
+    """Acknowledges a probe, or passes on to its requester that ``target`` acknowledged one."""
 
     probe_id: int
     target: str
@@ -62,25 +62,25 @@
 
 
 class IndirectProbe(msgspec.Struct, frozen=True, array_like=True, tag=11):
-    """Asks a helper to probe ``target`` for the sender."""
+    """Asks the receiver to probe ``target`` for the sender."""
 
     probe_id: int
     target: str
 
 
 class MembersQuery(msgspec.Struct, frozen=True, array_like=True, tag=12):
-    """A router that has just started asks for the whole member table."""
+    """Asks for the whole member table; sent by a router that has just started."""
 
     sender_row: MemberRow
 
 
 class MembersReply(msgspec.Struct, frozen=True, array_like=True, tag=13):
-    """The whole member table, once."""
+    """Answers a ``MembersQuery`` with the whole member table."""
 
     news: News
 
 
 class Announcement(msgspec.Struct, frozen=True, array_like=True, tag=27):
-    """News that cannot wait for the next probe."""
+    """Carries news at once that must not wait for the next probe."""
 
     news: News
--- a/packages/core/src/myrtlehook_core/process/message_handlers.py
+++ b/packages/core/src/myrtlehook_core/process/message_handlers.py
@@ -63,31 +63,31 @@
     receive_release,
 )
 from myrtlehook_core.process.probing import (
-    announce_near,
-    take_ack,
-    take_indirect_probe,
-    take_members_query,
-    take_news,
-    take_probe,
+    announce_news_in_zone,
+    apply_news,
+    handle_ack,
+    handle_indirect_probe,
+    handle_members_query,
+    handle_probe,
 )
 from myrtlehook_core.process.quarantine_handlers import (
-    hear_quarantine,
-    relay_quarantine,
-    take_end_report,
-    take_sound_report,
+    apply_quarantine_news,
+    handle_end_report,
+    handle_sound_run_report,
+    relay_quarantine_news,
 )
 from myrtlehook_core.process.quarantine_messages import ServerEndReport, SoundRunReport
 from myrtlehook_core.process.runs import (
     apply_grant,
 )
-from myrtlehook_core.process.server_notice_handlers import take_leaving_notice
+from myrtlehook_core.process.server_notice_handlers import handle_leaving_notice
 from myrtlehook_core.process.shares import apply_level, record_zone_report
 from myrtlehook_core.process.source_handlers import (
-    hear_source,
-    query_documents,
-    take_configuration,
-    take_servers_query,
-    take_servers_reply,
+    apply_source_news,
+    handle_servers_query,
+    handle_servers_reply,
+    query_missing_documents,
+    report_configuration,
 )
 from myrtlehook_core.process.source_messages import ServersQuery, ServersReply
 from myrtlehook_core.request.outcomes import DropReason
@@ -143,48 +143,48 @@
 
 
 def _handle_probe(core: "RouterCore", sender: str, message: Probe, now_s: float) -> None:
-    take_probe(core.probe_context(), sender, message, now_s)
-    hear_source(core, sender, message.news, now_s)
-    hear_quarantine(core, message.news, now_s)
+    handle_probe(core.probe_context(), sender, message, now_s)
+    apply_source_news(core, sender, message.news, now_s)
+    apply_quarantine_news(core, message.news, now_s)
 
 
 def _handle_ack(core: "RouterCore", sender: str, message: Ack, now_s: float) -> None:
-    take_ack(core.prober, core.probe_context(), sender, message, now_s)
-    hear_source(core, sender, message.news, now_s)
-    hear_quarantine(core, message.news, now_s)
+    handle_ack(core.prober, core.probe_context(), sender, message, now_s)
+    apply_source_news(core, sender, message.news, now_s)
+    apply_quarantine_news(core, message.news, now_s)
 
 
 def _handle_announcement(
     core: "RouterCore", sender: str, message: Announcement, now_s: float
 ) -> None:
     previous_state = find_state(core.table, sender)
-    take_news(core.probe_context(), sender, message.news, now_s)
-    hear_source(core, sender, message.news, now_s)
-    relay_quarantine(core, sender, hear_quarantine(core, message.news, now_s))
+    apply_news(core.probe_context(), sender, message.news, now_s)
+    apply_source_news(core, sender, message.news, now_s)
+    relay_quarantine_news(core, sender, apply_quarantine_news(core, message.news, now_s))
     if not core.is_in_own_zone(sender) and find_state(core.table, sender) is not previous_state:
         # A stopping router of another zone announces itself to only a few routers of this zone,
         # which therefore pass the change on. Probes carry all other changes.
-        announce_near(core.probe_context())
+        announce_news_in_zone(core.probe_context())
 
 
 def _handle_indirect_probe(
     core: "RouterCore", sender: str, message: IndirectProbe, now_s: float
 ) -> None:
-    take_indirect_probe(core.prober, core.probe_context(), sender, message, now_s)
+    handle_indirect_probe(core.prober, core.probe_context(), sender, message, now_s)
 
 
 def _handle_members_query(
     core: "RouterCore", sender: str, message: MembersQuery, now_s: float
 ) -> None:
-    take_members_query(core.probe_context(), sender, message, now_s)
+    handle_members_query(core.probe_context(), sender, message, now_s)
 
 
 def _handle_members_reply(
     core: "RouterCore", sender: str, message: MembersReply, now_s: float
 ) -> None:
-    take_news(core.probe_context(), sender, message.news, now_s)
-    hear_source(core, sender, message.news, now_s)
-    hear_quarantine(core, message.news, now_s)
+    apply_news(core.probe_context(), sender, message.news, now_s)
+    apply_source_news(core, sender, message.news, now_s)
+    apply_quarantine_news(core, message.news, now_s)
 
 
 def _handle_configuration_query(
@@ -199,11 +199,11 @@
 def _handle_configuration_reply(
     core: "RouterCore", sender: str, message: ConfigurationReply, now_s: float
 ) -> None:
-    take_configuration(core, take_document(core.exchange, message.text, sender))
+    report_configuration(core, take_document(core.exchange, message.text, sender))
     offer = core.exchange.offer
     if offer is not None and offer.manifest_text and not offer.texts:
         offer.next_query_s = now_s
-        query_documents(core, now_s)
+        query_missing_documents(core, now_s)
 
 
 def _handle_admission_request(
@@ -278,11 +278,11 @@
     AdmissionRelease: _handle_admission_release,
     HeldAdmissions: _handle_held_admissions,
     Announcement: _handle_announcement,
-    LeavingNotice: take_leaving_notice,
-    ServersQuery: take_servers_query,
-    ServersReply: take_servers_reply,
-    ServerEndReport: take_end_report,
-    SoundRunReport: take_sound_report,
+    LeavingNotice: handle_leaving_notice,
+    ServersQuery: handle_servers_query,
+    ServersReply: handle_servers_reply,
+    ServerEndReport: handle_end_report,
+    SoundRunReport: handle_sound_run_report,
     EarlyCharge: _handle_early_charge,
     Bid: _handle_bid,
     Grant: _handle_grant,
--- a/packages/core/src/myrtlehook_core/process/neighbours.py
+++ b/packages/core/src/myrtlehook_core/process/neighbours.py
@@ -1,11 +1,14 @@
-"""Which other router takes a connection that this one has no processor time for.
-
-A router cannot know how busy each of hundreds of others is. Of two drawn from the own
-availability zone it chooses the one that it has given less, and one that is short of
-processor time itself says so at once and is left alone for a while. Bytes between zones are
-dear, so those of other zones are asked only while the whole own zone is short. Two workspaces
-that flood, one from a zone of three of eight routers: worth 0.68 of the callers' credit, 0.58
-without other zones' help (one play each, processor time charged).
+"""The choice of the router that gets a connection for which this one lacks processor time.
+
+A router cannot know how busy each of hundreds of others is. It draws two from its own
+availability zone and chooses the one to which it has passed fewer open connections. A router
+that is short of processor time itself refuses at once and is not asked again for a while.
+Traffic between zones is expensive, so routers of other zones are asked only while all of the
+own zone are short.
+
+With two workspaces that flood the fleet, one of them through a zone with three of its eight
+routers, clients got 0.68 of the possible credit, against 0.58 without help from other zones
+(one simulation each, with processor time charged).
 """
 
 from collections.abc import Callable
@@ -15,50 +18,50 @@
 from myrtlehook_core.process.members import Member, MemberState, MemberTable
 from myrtlehook_core.process.options import CoreOptions
 
-SHORT_S = 1.0
-"""A neighbour that was short itself is not asked again for this long."""
+SHORT_BACKOFF_S = 1.0
+"""A neighbour that refused a connection is not asked again for this long."""
 
 FAR_DRAWS = 8
-"""Routers of other zones drawn to find candidates that are not known to be short. If half of them
-are, none is found in 1 of 256 cases."""
+"""The number of routers drawn in other zones to find candidates that are not known to be short
+of processor time. If half of all routers are, no candidate is found in 1 of 256 cases."""
 
-CANDIDATES = 2
-"""Two drawn at random spread load nearly as well as knowing all of them."""
+CANDIDATE_COUNT = 2
+"""The least loaded of two random candidates spreads load nearly as well as that of all routers."""
 
 
 @dataclass(slots=True)
 class Neighbours:
-    """The routers that may help this one, and what it has given them."""
+    """The routers to which this one may pass connections, and the connections passed so far."""
 
     members_version: int = -1
-    near: tuple[str, ...] = ()
-    """Ids, those of the own availability zone."""
-    far: tuple[str, ...] = ()
-    """Ids, those of all others."""
+    near_ids: tuple[str, ...] = ()
+    """Ids of the alive routers in the own availability zone."""
+    far_ids: tuple[str, ...] = ()
+    """Ids of the alive routers in all other zones."""
     open_connections: dict[str, int] = field(default_factory=dict)
-    """By router, connections that it serves for this one."""
+    """By router, the number of open connections that it serves for this one."""
     short_until_s: dict[str, float] = field(default_factory=dict)
-    owed: float = 0.0
-    """Connections due to be passed on; one is at each whole number."""
+    passing_credit: float = 0.0
+    """Accumulated fraction of connections to pass on; at each whole number one is passed."""
 
 
 def passes_on(
     neighbours: Neighbours, options: CoreOptions, busy_part: float, is_crowded: bool
 ) -> bool:
-    """Count a new connection, and tell whether another router is to serve it.
+    """Count a new connection, and return whether to pass it to another router.
 
-    :param busy_part: the part of its processor time that this router uses.
-    :param is_crowded: callers' connections nearly fill what this router may hold.
+    :param busy_part: the fraction of its processor time that this router uses.
+    :param is_crowded: whether client connections nearly reach this router's limit.
     """
-    neighbours.owed += 1.0 if is_crowded else _passed_part(options, busy_part)
-    if neighbours.owed < 1.0:
+    neighbours.passing_credit += 1.0 if is_crowded else _compute_passed_fraction(options, busy_part)
+    if neighbours.passing_credit < 1.0:
         return False
-    neighbours.owed -= 1.0
+    neighbours.passing_credit -= 1.0
     return True
 
 
-def _passed_part(options: CoreOptions, busy_part: float) -> float:
-    """Return the part of the new connections to pass on, rising between the thresholds."""
+def _compute_passed_fraction(options: CoreOptions, busy_part: float) -> float:
+    """Return the fraction of new connections to pass on; it rises between the two thresholds."""
     if busy_part >= options.passing_all_part:
         return 1.0
     if busy_part <= options.passing_starts_part:
@@ -70,13 +73,15 @@
 def choose_neighbour(
     neighbours: Neighbours, table: MemberTable, now_s: float, draw: Draw, tried: frozenset[str]
 ) -> Member | None:
-    """Return the router to pass a connection on to; None when nobody can be asked."""
-    _follow_members(neighbours, table)
+    """Return the router to pass a connection to, or None when there is no candidate."""
+    _update_members(neighbours, table)
 
     def is_free(name: str) -> bool:
         return name not in tried and now_s >= neighbours.short_until_s.get(name, 0.0)
 
-    drawn = _draw_near(neighbours.near, is_free, draw) or _draw_far(neighbours.far, is_free, draw)
+    drawn = _draw_near(neighbours.near_ids, is_free, draw) or _draw_far(
+        neighbours.far_ids, is_free, draw
+    )
     if not drawn:
         return None
     chosen = min(drawn, key=lambda name: neighbours.open_connections.get(name, 0))
@@ -84,13 +89,13 @@
 
 
 def note_opened(neighbours: Neighbours, router_id: str) -> None:
-    """Count a connection that a neighbour was asked to serve."""
+    """Count a connection that was passed to a neighbour."""
     count = neighbours.open_connections.get(router_id, 0)
     neighbours.open_connections[router_id] = count + 1
 
 
 def note_closed(neighbours: Neighbours, router_id: str) -> None:
-    """Count a connection that a neighbour serves no more."""
+    """Count a passed connection as closed."""
     count = neighbours.open_connections.get(router_id, 0) - 1
     if count > 0:
         neighbours.open_connections[router_id] = count
@@ -99,23 +104,23 @@
 
 
 def note_short(neighbours: Neighbours, router_id: str, now_s: float) -> None:
-    """Leave a neighbour alone for a while that took no connection."""
-    neighbours.short_until_s[router_id] = now_s + SHORT_S
+    """Record that a neighbour refused a connection, so that it is not asked again for a while."""
+    neighbours.short_until_s[router_id] = now_s + SHORT_BACKOFF_S
 
 
 def _draw_near(near: tuple[str, ...], is_free: Callable[[str], bool], draw: Draw) -> list[str]:
-    """Draw candidates of the own zone; any that is free is found."""
+    """Draw candidates among the routers of the own zone that are free."""
     free = [name for name in near if is_free(name)]
-    return [free[int(draw() * len(free))] for _ in range(CANDIDATES)] if free else []
+    return [free[int(draw() * len(free))] for _ in range(CANDIDATE_COUNT)] if free else []
 
 
 def _draw_far(far: tuple[str, ...], is_free: Callable[[str], bool], draw: Draw) -> list[str]:
-    """Draw candidates of other zones, which are too many to look at all of them."""
+    """Draw candidates in other zones, whose routers are too many to examine each of them."""
     drawn = [far[int(draw() * len(far))] for _ in range(FAR_DRAWS)] if far else []
-    return [name for name in drawn if is_free(name)][:CANDIDATES]
+    return [name for name in drawn if is_free(name)][:CANDIDATE_COUNT]
 
 
-def _follow_members(neighbours: Neighbours, table: MemberTable) -> None:
+def _update_members(neighbours: Neighbours, table: MemberTable) -> None:
     if neighbours.members_version == table.version:
         return
     neighbours.members_version = table.version
@@ -123,7 +128,7 @@
     zone = table.identity.availability_zone
     near = [member.router_id for member in alive if member.availability_zone == zone]
     far = [member.router_id for member in alive if member.availability_zone != zone]
-    neighbours.near = tuple(sorted(near))
-    neighbours.far = tuple(sorted(far))
+    neighbours.near_ids = tuple(sorted(near))
+    neighbours.far_ids = tuple(sorted(far))
     for name in neighbours.short_until_s.keys() - set(near) - set(far):
         del neighbours.short_until_s[name]
--- a/packages/core/src/myrtlehook_core/process/owners.py
+++ b/packages/core/src/myrtlehook_core/process/owners.py
@@ -24,7 +24,7 @@
     choose_lowest,
     make_weighted_chooser,
 )
-from myrtlehook_core.process.ejections import may_use, note_end
+from myrtlehook_core.process.ejections import may_send_request, record_outcome
 from myrtlehook_core.process.events import LoadReported
 from myrtlehook_core.process.messages import (
     Bid,
@@ -121,7 +121,7 @@
     if server is None:
         return
     release_hold(server, release.grant_id, now_s + context.options.hold_lease_s)
-    if release.used and note_end(server.health, release.failed, now_s):
+    if release.used and record_outcome(server.health, release.failed, now_s):
         context.actions.add(ServerEjected(release.backend_server, server.health.ejected_until_s))
     configured = context.configuration.backend_servers.get(release.backend_server)
     if configured is None:
@@ -293,7 +293,7 @@
         if not _may_grant(server, configured, context, now_s):
             continue
         limit = configured.slots + context.options.overfill_slots
-        if server.health.suspect:
+        if server.health.is_failing:
             limit = 1
         count = count_free_slots(server, limit, now_s)
         if count > 0:
@@ -306,7 +306,7 @@
 ) -> bool:
     if configured.leaving:
         return False
-    if not may_use(server.health, len(server.holds), now_s):
+    if not may_send_request(server.health, len(server.holds), now_s):
         return False
     return now_s >= server.owned_since_s + context.options.adopt_delay_s
 
--- a/packages/core/src/myrtlehook_core/process/placements.py
+++ b/packages/core/src/myrtlehook_core/process/placements.py
@@ -12,7 +12,11 @@
 from dataclasses import dataclass, field
 
 from myrtlehook_core.process.hashing import Weight, rank_weights, weigh_router
-from myrtlehook_core.process.members import MemberTable, eligible_routers, list_zones
+from myrtlehook_core.process.members import (
+    MemberTable,
+    group_routers_by_zone,
+    list_eligible_routers,
+)
 from myrtlehook_core.request.requests import PoolKey
 from myrtlehook_core.version.configurations import NO_VERSION, Configuration, ConfigurationVersion
 
@@ -44,7 +48,7 @@
     )
     if known == (table.version, configuration.version, configuration.servers_revision):
         return False
-    eligible = eligible_routers(table)
+    eligible = list_eligible_routers(table)
     departed = set(placement.eligible) - set(eligible)
     joined = set(eligible) - set(placement.eligible)
     same_servers = placement.server_weights.keys() == configuration.backend_servers.keys()
@@ -53,7 +57,7 @@
     placement.configuration_version = configuration.version
     placement.servers_revision = configuration.servers_revision
     placement.eligible = eligible
-    placement.zones = list_zones(table)
+    placement.zones = group_routers_by_zone(table)
     if not departed and not joined and same_servers and same_configuration:
         return False
     _drop_outdated_ledgers(placement, departed, joined)
--- a/packages/core/src/myrtlehook_core/process/quarantine.py
+++ b/packages/core/src/myrtlehook_core/process/quarantine.py
@@ -1,13 +1,14 @@
-"""Requests under which backend servers end again and again are kept from servers for a while.
+"""Quarantine of requests that repeatedly end the backend servers that run them.
 
-A request is known by its fingerprint: caller, path and body. Each router that sees a server end
-under a request reports it to the two collectors of that fingerprint, placed by rendezvous hash.
-A collector counts the ends that follow one another: runs that were under way together count as
-one, because one lost rack would end them all. At the second such end the request is held, and
-all routers hear of it with their probes.
+A request is identified by its fingerprint: client, path and body. A router that sees a server end
+while it runs a request reports this to the two collectors of the fingerprint, which are chosen by
+rendezvous hashing. A collector counts consecutive ends: ends of runs that were under way at the
+same time count as one, because a lost rack would end them all. At the second counted end the
+request is quarantined (held): all routers refuse it. They learn of it with their probes.
 
-Who happened to run beside it is held up to the same count, and cleared by a run that ends well:
-a request that ends servers never does. Such a run, at any router, lifts what was held.
+Requests that merely ran beside the harmful one are counted and held in the same way. A run of
+theirs that completes (a sound run), at any router, clears them and lifts the hold; a request that
+ends servers never completes.
 """
 
 import math
@@ -17,47 +18,51 @@
 
 from myrtlehook_core.process.quarantine_messages import QuarantineRow, ServerEndReport
 
-ENDS_HELD = 2
-"""Ends in a row until a request is held. One is chance: it happens to all that a server ran.
-Each further one costs a whole server, with the up to 64 answers that it was giving."""
+ENDS_TO_HOLD = 2
+"""The number of consecutive ends at which a request is held. A single end is no evidence, since it
+happens to all requests that the server was running. Each further one costs a whole server and up
+to 64 answers that it was producing."""
 
-TOGETHER_S = 0.05
-"""A run that began less than this after a server's end counts as under way then: what ends
-several servers does so within some 10 ms, and messages take a few. A router waits as long
-before it sends a request that has ended a server to another one."""
+CONCURRENT_WINDOW_S = 0.05
+"""A run that began less than this after a server's end counts as under way at that time: a common
+cause ends several servers within about 10 ms, and messages take a few more. A router waits as
+long before it sends a request under which a server ended to another server."""
 
 FIRST_HOLD_S = 60.0
-"""How long a request is held first. Whoever ended servers then ends one a minute at most."""
+"""How long a request is held first. From then on a harmful request ends at most one server a
+minute."""
 
-LONGEST_HOLD_S = 3600.0
-"""The hold doubles with each further end up to this; a mended server is tried within it."""
+MAX_HOLD_S = 3600.0
+"""The hold doubles with each further end up to this limit, so that the request is tried again
+within an hour after the servers were repaired."""
 
-MEMORY_S = 2.0 * LONGEST_HOLD_S
-"""Ends further apart than this say nothing about a request any more."""
+END_MEMORY_S = 2.0 * MAX_HOLD_S
+"""Ends further apart than this do not count as consecutive."""
 
-LIFT_TOLD_S = 10.0
-"""How long it is told that a hold was lifted: a probe reaches every router of 1,200 sooner."""
+LIFT_NEWS_S = 10.0
+"""How long the news that a hold was lifted is sent. Probes spread it to all of 1,200 routers in
+less time."""
 
-ROWS_TOLD = 8
-"""Most requests that ride on one message, about 40 bytes each: with more than that held, those
-told least often come first."""
+MAX_QUARANTINE_ROWS = 8
+"""The greatest number of quarantine rows on one message, of about 40 bytes each. If more requests
+are held, those sent least often come first."""
 
-SUSPECTS = 4096
-"""Most requests that a collector counts ends of; the oldest give way. A lost server leaves up
-to 64 of them, at two collectors each."""
+MAX_SUSPECTS = 4096
+"""The greatest number of requests whose ends a collector counts; the least recently counted are
+evicted. A lost server adds up to 64 of them, at two collectors each."""
 
-VERDICTS = 1024
-"""Most requests that a router keeps as held, or as held before."""
+MAX_VERDICTS = 1024
+"""The greatest number of requests that a router keeps as held now or earlier."""
 
-SOUND_RUNS = 4096
-"""Most requests that a router remembers to have ended well: 100 s of them at 40 a second."""
+MAX_SOUND_RUNS = 4096
+"""The greatest number of completed requests that a router remembers: 100 s at 40 a second."""
 
 Kept = TypeVar("Kept")
 
 
 @dataclass(slots=True)
-class Suspect:
-    """What a collector has counted of one request."""
+class SuspectRequest:
+    """The server ends that a collector has counted for one request."""
 
     ends: int
     first_end_s: float
@@ -66,69 +71,76 @@
 
 @dataclass(slots=True)
 class Verdict:
-    """What this router believes of one request."""
+    """Whether one request is quarantined, as this router knows it."""
 
     serial: int
     ends: int
-    """0 once the hold was lifted."""
+    """How many server ends were counted; 0 once the hold was lifted."""
     since_s: float
-    """When the first of the servers ended."""
+    """When the first of these servers ended."""
     held_until_s: float
     heard_at_s: float
+    """When this router made the verdict or received it."""
     told: int = 0
+    """How many messages have carried it."""
 
 
 @dataclass(slots=True)
 class Quarantine:
-    """What one router knows of requests that end servers, by fingerprint."""
+    """What one router knows of requests that end servers; all tables are keyed by fingerprint."""
 
     first_serial: int
-    """Greater than that of any earlier process."""
-    suspects: OrderedDict[bytes, Suspect] = field(default_factory=OrderedDict)
-    """Counted here, the one that changed last at the end."""
+    """Lower bound of the serials given here; greater than that of any earlier process."""
+    suspects: OrderedDict[bytes, SuspectRequest] = field(default_factory=OrderedDict)
+    """Requests counted here as a collector, the most recently changed one last."""
     verdicts: OrderedDict[bytes, Verdict] = field(default_factory=OrderedDict)
     sound_runs: OrderedDict[bytes, float] = field(default_factory=OrderedDict)
-    """When requests last ended well at this router."""
-    is_news: bool = False
-    """Something is held since waiting requests were looked through."""
+    """When each request last completed at this router."""
+    has_new_holds: bool = False
+    """Whether a request was held since the waiting requests were last checked."""
 
 
-def count_end(quarantine: Quarantine, report: ServerEndReport, now_s: float) -> Suspect | None:
-    """Count a reported end; returns None when it says nothing new."""
+def count_end(
+    quarantine: Quarantine, report: ServerEndReport, now_s: float
+) -> SuspectRequest | None:
+    """Count a reported end; return None if it is no new evidence against the request."""
     began_s = now_s - report.began_age_ms / 1000.0
     ended_s = now_s - report.ended_age_ms / 1000.0
     suspect = _find_suspect(quarantine, report.fingerprint, now_s)
     if suspect is None:
-        suspect = Suspect(1, ended_s, ended_s)
-    elif began_s < suspect.last_end_s + TOGETHER_S:
-        # It was under way when the last server ended, and may have shared its fate.
+        suspect = SuspectRequest(1, ended_s, ended_s)
+    elif began_s < suspect.last_end_s + CONCURRENT_WINDOW_S:
+        # The run was under way when the last server ended; both may have had the same cause.
         return None
     else:
         suspect.ends += 1
         suspect.last_end_s = ended_s
-    _put_last(quarantine.suspects, report.fingerprint, suspect, SUSPECTS)
+    _store_last(quarantine.suspects, report.fingerprint, suspect, MAX_SUSPECTS)
     return suspect
 
 
-def hold(quarantine: Quarantine, fingerprint: bytes, suspect: Suspect, now_s: float) -> Verdict:
-    """Hold a request of which enough ends were counted."""
-    hold_s = FIRST_HOLD_S * 2.0 ** (suspect.ends - ENDS_HELD)
+def hold_request(
+    quarantine: Quarantine, fingerprint: bytes, suspect: SuspectRequest, now_s: float
+) -> Verdict:
+    """Quarantine a request for which enough ends were counted."""
+    hold_s = FIRST_HOLD_S * 2.0 ** (suspect.ends - ENDS_TO_HOLD)
     verdict = Verdict(
         serial=_next_serial(quarantine, fingerprint),
         ends=suspect.ends,
         since_s=suspect.first_end_s,
-        held_until_s=now_s + min(hold_s, LONGEST_HOLD_S),
+        held_until_s=now_s + min(hold_s, MAX_HOLD_S),
         heard_at_s=now_s,
     )
-    _put_last(quarantine.verdicts, fingerprint, verdict, VERDICTS)
-    quarantine.is_news = True
+    _store_last(quarantine.verdicts, fingerprint, verdict, MAX_VERDICTS)
+    quarantine.has_new_holds = True
     return verdict
 
 
-def lift(quarantine: Quarantine, fingerprint: bytes, now_s: float) -> bool:
-    """Forget the ends under a request that has ended well; True when others count them too.
+def lift_hold(quarantine: Quarantine, fingerprint: bytes, now_s: float) -> bool:
+    """Forget the counted ends of a request that has completed, and lift its hold.
 
-    They do from its first hold on, also when that is over.
+    Returns True if other routers must be informed: they know of the ends from the first hold
+    on, even when that is over.
     """
     quarantine.suspects.pop(fingerprint, None)
     verdict = quarantine.verdicts.get(fingerprint)
@@ -136,48 +148,50 @@
         return False
     serial = _next_serial(quarantine, fingerprint)
     lifted = Verdict(serial, ends=0, since_s=now_s, held_until_s=now_s, heard_at_s=now_s)
-    _put_last(quarantine.verdicts, fingerprint, lifted, VERDICTS)
+    _store_last(quarantine.verdicts, fingerprint, lifted, MAX_VERDICTS)
     return True
 
 
-def note_sound_run(quarantine: Quarantine, fingerprint: bytes, now_s: float) -> None:
-    """Remember that a request has ended well here."""
-    _put_last(quarantine.sound_runs, fingerprint, now_s, SOUND_RUNS)
+def record_sound_run(quarantine: Quarantine, fingerprint: bytes, now_s: float) -> None:
+    """Record that a request has completed at this router."""
+    _store_last(quarantine.sound_runs, fingerprint, now_s, MAX_SOUND_RUNS)
 
 
 def is_cleared(quarantine: Quarantine, fingerprint: bytes) -> bool:
-    """Tell whether a held request has ended well here since the first end counted against it."""
+    """Return whether a held request has completed here since the first end counted against it."""
     verdict = quarantine.verdicts.get(fingerprint)
     sound_at_s = quarantine.sound_runs.get(fingerprint, -math.inf)
     return verdict is not None and verdict.ends > 0 and sound_at_s > verdict.since_s
 
 
-def find_hold_s(quarantine: Quarantine, fingerprint: bytes, now_s: float) -> float:
-    """Return how long a request is still refused, in seconds; 0 when it is not."""
+def find_remaining_hold_s(quarantine: Quarantine, fingerprint: bytes, now_s: float) -> float:
+    """Return for how many seconds a request is still refused; 0 if it is not quarantined."""
     verdict = quarantine.verdicts.get(fingerprint)
     return 0.0 if verdict is None else max(verdict.held_until_s - now_s, 0.0)
 
 
 def count_held(quarantine: Quarantine, now_s: float) -> int:
-    """Return how many requests are refused at present."""
+    """Return the number of requests that are quarantined at present."""
     return sum(now_s < verdict.held_until_s for verdict in quarantine.verdicts.values())
 
 
-def collect_rows(quarantine: Quarantine, now_s: float) -> tuple[QuarantineRow, ...]:
-    """Return what rides on the next message."""
-    told = [
+def collect_quarantine_rows(quarantine: Quarantine, now_s: float) -> tuple[QuarantineRow, ...]:
+    """Return the rows to send with the next message, and count them as sent."""
+    current = [
         (fingerprint, verdict)
         for fingerprint, verdict in quarantine.verdicts.items()
         if now_s < verdict.held_until_s or _is_lift_news(verdict, now_s)
     ]
-    told.sort(key=lambda item: item[1].told)
-    for _, verdict in told[:ROWS_TOLD]:
+    current.sort(key=lambda item: item[1].told)
+    for _, verdict in current[:MAX_QUARANTINE_ROWS]:
         verdict.told += 1
-    return tuple(_make_row(*item, now_s) for item in told[:ROWS_TOLD])
+    return tuple(_make_row(*item, now_s) for item in current[:MAX_QUARANTINE_ROWS])
 
 
-def take_row(quarantine: Quarantine, row: QuarantineRow, now_s: float) -> Verdict | None:
-    """Take what another router believes; returns it when it is news here."""
+def apply_quarantine_row(
+    quarantine: Quarantine, row: QuarantineRow, now_s: float
+) -> Verdict | None:
+    """Apply a row from another router; return the new verdict, or None if it was known."""
     known = quarantine.verdicts.get(row.fingerprint)
     if known is not None and row.serial <= known.serial:
         return None
@@ -185,34 +199,36 @@
         serial=row.serial,
         ends=row.ends,
         since_s=now_s - row.since_ms / 1000.0,
-        held_until_s=now_s + min(row.left_ms / 1000.0, LONGEST_HOLD_S),
+        held_until_s=now_s + min(row.left_ms / 1000.0, MAX_HOLD_S),
         heard_at_s=now_s,
     )
-    _put_last(quarantine.verdicts, row.fingerprint, verdict, VERDICTS)
+    _store_last(quarantine.verdicts, row.fingerprint, verdict, MAX_VERDICTS)
     if verdict.ends:
-        quarantine.is_news = True
+        quarantine.has_new_holds = True
     else:
         quarantine.suspects.pop(row.fingerprint, None)
     return verdict
 
 
-def forget_old(quarantine: Quarantine, now_s: float) -> None:
-    """Drop what says nothing any more."""
+def forget_old_evidence(quarantine: Quarantine, now_s: float) -> None:
+    """Drop suspects and verdicts that are too old to matter."""
     for fingerprint, suspect in list(quarantine.suspects.items()):
-        if now_s - suspect.last_end_s > MEMORY_S:
+        if now_s - suspect.last_end_s > END_MEMORY_S:
             del quarantine.suspects[fingerprint]
     for fingerprint, verdict in list(quarantine.verdicts.items()):
-        if now_s - verdict.heard_at_s > MEMORY_S:
+        if now_s - verdict.heard_at_s > END_MEMORY_S:
             del quarantine.verdicts[fingerprint]
 
 
-def _find_suspect(quarantine: Quarantine, fingerprint: bytes, now_s: float) -> Suspect | None:
-    """Return what was counted of a request, here or by a collector before."""
+def _find_suspect(
+    quarantine: Quarantine, fingerprint: bytes, now_s: float
+) -> SuspectRequest | None:
+    """Return the ends counted for a request, here or, by its verdict, at another collector."""
     suspect = quarantine.suspects.get(fingerprint)
     verdict = quarantine.verdicts.get(fingerprint)
     if verdict is not None and verdict.ends and (suspect is None or suspect.ends < verdict.ends):
-        suspect = Suspect(verdict.ends, verdict.since_s, verdict.heard_at_s)
-    if suspect is None or now_s - suspect.last_end_s > MEMORY_S:
+        suspect = SuspectRequest(verdict.ends, verdict.since_s, verdict.heard_at_s)
+    if suspect is None or now_s - suspect.last_end_s > END_MEMORY_S:
         return None
     return suspect
 
@@ -223,7 +239,7 @@
 
 
 def _is_lift_news(verdict: Verdict, now_s: float) -> bool:
-    return verdict.ends == 0 and now_s < verdict.heard_at_s + LIFT_TOLD_S
+    return verdict.ends == 0 and now_s < verdict.heard_at_s + LIFT_NEWS_S
 
 
 def _make_row(fingerprint: bytes, verdict: Verdict, now_s: float) -> QuarantineRow:
@@ -236,8 +252,10 @@
     )
 
 
-def _put_last(kept: OrderedDict[bytes, Kept], fingerprint: bytes, item: Kept, most: int) -> None:
-    kept[fingerprint] = item
-    kept.move_to_end(fingerprint)
-    while len(kept) > most:
-        kept.popitem(last=False)
+def _store_last(
+    table: OrderedDict[bytes, Kept], fingerprint: bytes, item: Kept, limit: int
+) -> None:
+    table[fingerprint] = item
+    table.move_to_end(fingerprint)
+    while len(table) > limit:
+        table.popitem(last=False)
--- a/packages/core/src/myrtlehook_core/process/quarantine_handlers.py
+++ b/packages/core/src/myrtlehook_core/process/quarantine_handlers.py
@@ -1,4 +1,4 @@
-"""What the core does about requests that end backend servers; see ``quarantine``."""
+"""Handlers for requests that end backend servers; see ``quarantine``."""
 
 from typing import TYPE_CHECKING
 
@@ -8,17 +8,17 @@
 from myrtlehook_core.process.hashing import rank_routers
 from myrtlehook_core.process.ingress import update_queue_counts
 from myrtlehook_core.process.membership_messages import News
-from myrtlehook_core.process.probing import announce, announce_near
+from myrtlehook_core.process.probing import announce_news, announce_news_in_zone
 from myrtlehook_core.process.quarantine import (
-    ENDS_HELD,
+    ENDS_TO_HOLD,
     Verdict,
+    apply_quarantine_row,
     count_end,
-    find_hold_s,
-    hold,
+    find_remaining_hold_s,
+    hold_request,
     is_cleared,
-    lift,
-    note_sound_run,
-    take_row,
+    lift_hold,
+    record_sound_run,
 )
 from myrtlehook_core.process.quarantine_messages import ServerEndReport, SoundRunReport
 from myrtlehook_core.process.refusals import refuse_request
@@ -29,12 +29,12 @@
 if TYPE_CHECKING:
     from myrtlehook_core.process.routers import RouterCore
 
-COLLECTORS = 2
-"""Routers that count the ends under one request: one may be gone just then."""
+COLLECTOR_COUNT = 2
+"""The number of routers that count the ends of one request: two, because one may be down."""
 
 
 def on_server_ended(core: "RouterCore", event: events.ServerEndedInRun, now_s: float) -> None:
-    """Report a server's end to the collectors of the request that it ran."""
+    """Report the end of a server to the collectors of the request that it was running."""
     if not core.options.quarantines_requests or not event.fingerprint:
         return
     report = ServerEndReport(
@@ -43,78 +43,80 @@
         began_age_ms=round((now_s - event.began_s) * 1000.0),
         ended_age_ms=round((now_s - event.ended_s) * 1000.0),
     )
-    for router_id in _collectors(core, event.fingerprint):
+    for router_id in _find_collectors(core, event.fingerprint):
         core.outbox.add(router_id, report)
 
 
-def take_end_report(
+def handle_end_report(
     core: "RouterCore", sender: str, message: ServerEndReport, now_s: float
 ) -> None:
-    """Count an end as a collector, and hold the request once they are enough."""
+    """Count a reported end as a collector, and quarantine the request once there are enough."""
     suspect = count_end(core.quarantine, message, now_s)
     if suspect is None:
         return
     fingerprint = message.fingerprint
     core.actions.add(ServerEndCounted(fingerprint, message.backend_server, suspect.ends))
-    if suspect.ends < ENDS_HELD:
+    if suspect.ends < ENDS_TO_HOLD:
         return
-    verdict = hold(core.quarantine, fingerprint, suspect, now_s)
-    _note(core, fingerprint, verdict, QuarantineCause.COUNTED)
+    verdict = hold_request(core.quarantine, fingerprint, suspect, now_s)
+    _report_verdict(core, fingerprint, verdict, QuarantineCause.COUNTED)
     _report_sound_run(core, fingerprint, now_s)
-    announce(core.probe_context())
+    announce_news(core.probe_context())
 
 
-def take_sound_report(
+def handle_sound_run_report(
     core: "RouterCore", sender: str, message: SoundRunReport, now_s: float
 ) -> None:
-    """Lift what is held, as a collector, once a run has ended well."""
-    if not lift(core.quarantine, message.fingerprint, now_s):
+    """Lift the hold of a request, as a collector, after a completed run of it."""
+    if not lift_hold(core.quarantine, message.fingerprint, now_s):
         return
     verdict = core.quarantine.verdicts[message.fingerprint]
-    _note(core, message.fingerprint, verdict, QuarantineCause.ENDED_WELL)
-    announce(core.probe_context())
+    _report_verdict(core, message.fingerprint, verdict, QuarantineCause.ENDED_WELL)
+    announce_news(core.probe_context())
 
 
-def hear_quarantine(core: "RouterCore", news: News, now_s: float) -> bool:
-    """Take what another router believes of requests; True when any of it is news here."""
+def apply_quarantine_news(core: "RouterCore", news: News, now_s: float) -> bool:
+    """Apply the quarantine rows of another router; return True if any of them is new here."""
     is_news = False
     for row in news.quarantine:
-        verdict = take_row(core.quarantine, row, now_s)
+        verdict = apply_quarantine_row(core.quarantine, row, now_s)
         if verdict is None:
             continue
         is_news = True
-        _note(core, row.fingerprint, verdict, QuarantineCause.TOLD)
+        _report_verdict(core, row.fingerprint, verdict, QuarantineCause.TOLD)
         _report_sound_run(core, row.fingerprint, now_s)
     return is_news
 
 
-def relay_quarantine(core: "RouterCore", sender: str, is_news: bool) -> None:
-    """Tell the own zone what a few of it were told from another one."""
+def relay_quarantine_news(core: "RouterCore", sender: str, is_news: bool) -> None:
+    """Announce quarantine news from another zone to the own one, where only a few received it."""
     if is_news and not core.is_in_own_zone(sender):
-        announce_near(core.probe_context())
+        announce_news_in_zone(core.probe_context())
 
 
-def note_completed(core: "RouterCore", request: RequestSpecification, now_s: float) -> None:
-    """Remember a run that ended well, and say so if its request is held."""
+def record_completed_request(
+    core: "RouterCore", request: RequestSpecification, now_s: float
+) -> None:
+    """Record a completed run, and report it to the collectors if its request is held."""
     if not request.fingerprint:
         return
-    note_sound_run(core.quarantine, request.fingerprint, now_s)
+    record_sound_run(core.quarantine, request.fingerprint, now_s)
     _report_sound_run(core, request.fingerprint, now_s)
 
 
-def repeat_sound_reports(core: "RouterCore", now_s: float) -> None:
-    """Repeat what may have been lost: that held requests have ended well here."""
+def resend_sound_run_reports(core: "RouterCore", now_s: float) -> None:
+    """Report again that held requests have completed here; an earlier report may have been lost."""
     for fingerprint, verdict in core.quarantine.verdicts.items():
         if now_s < verdict.held_until_s:
             _report_sound_run(core, fingerprint, now_s)
 
 
-def refuse_waiting(core: "RouterCore", now_s: float) -> None:
-    """Refuse requests that wait here and are held by now."""
-    core.quarantine.is_news = False
+def refuse_quarantined_requests(core: "RouterCore", now_s: float) -> None:
+    """Refuse waiting requests that have been quarantined since they arrived."""
+    core.quarantine.has_new_holds = False
     admission_context = core.admission_context()
     for admission in list(core.admissions.open.values()):
-        is_held = find_hold_s(core.quarantine, admission.request.fingerprint, now_s) > 0.0
+        is_held = find_remaining_hold_s(core.quarantine, admission.request.fingerprint, now_s) > 0.0
         if is_held and not admission.granted:
             reason = RefusalReason.QUARANTINED
             refuse_admission(core.admissions, admission_context, admission, reason, now_s)
@@ -123,7 +125,7 @@
         held = [
             request
             for request in queue.waiting
-            if find_hold_s(core.quarantine, request.fingerprint, now_s)
+            if find_remaining_hold_s(core.quarantine, request.fingerprint, now_s)
         ]
         for request in held:
             remove_request(queue, request.request_id)
@@ -132,17 +134,19 @@
 
 
 def _report_sound_run(core: "RouterCore", fingerprint: bytes, now_s: float) -> None:
-    """Tell the collectors that a held request has ended well here meanwhile."""
+    """Report to the collectors if a held request has completed here since its first end."""
     if not is_cleared(core.quarantine, fingerprint):
         return
-    for router_id in _collectors(core, fingerprint):
+    for router_id in _find_collectors(core, fingerprint):
         core.outbox.add(router_id, SoundRunReport(fingerprint))
 
 
-def _collectors(core: "RouterCore", fingerprint: bytes) -> tuple[str, ...]:
+def _find_collectors(core: "RouterCore", fingerprint: bytes) -> tuple[str, ...]:
     key = f"quarantine/{fingerprint.hex()}"
-    return rank_routers(key, core.placement.eligible, COLLECTORS)
+    return rank_routers(key, core.placement.eligible, COLLECTOR_COUNT)
 
 
-def _note(core: "RouterCore", fingerprint: bytes, verdict: Verdict, cause: QuarantineCause) -> None:
+def _report_verdict(
+    core: "RouterCore", fingerprint: bytes, verdict: Verdict, cause: QuarantineCause
+) -> None:
     core.actions.add(QuarantineChanged(fingerprint, verdict.ends, verdict.held_until_s, cause))
--- a/packages/core/src/myrtlehook_core/process/routers.py
+++ b/packages/core/src/myrtlehook_core/process/routers.py
@@ -65,13 +65,13 @@
     ProbeContext,
     Prober,
 )
-from myrtlehook_core.process.quarantine import Quarantine, collect_rows
-from myrtlehook_core.process.quarantine_handlers import refuse_waiting
+from myrtlehook_core.process.quarantine import Quarantine, collect_quarantine_rows
+from myrtlehook_core.process.quarantine_handlers import refuse_quarantined_requests
 from myrtlehook_core.process.quarantine_messages import QuarantineRow
 from myrtlehook_core.process.refusals import refuse_unservable
 from myrtlehook_core.process.shares import Shares
 from myrtlehook_core.process.source_messages import ReaderRow
-from myrtlehook_core.process.source_readers import SourceReaders, collect_readers
+from myrtlehook_core.process.source_readers import SourceReaders, collect_reader_rows
 from myrtlehook_core.version.configurations import Configuration
 from myrtlehook_core.version.discovery import Discovery, apply_discovery
 from myrtlehook_core.version.exchange import (
@@ -228,8 +228,8 @@
             draw=self.draw,
             version=self.configuration.version,
             servers_order=self.discovery.source_order,
-            readers=self._collect_reader_rows,
-            quarantine=self._collect_quarantine_rows,
+            collect_reader_rows=self._collect_reader_rows,
+            collect_quarantine_rows=self._collect_quarantine_rows,
             out=self.actions,
         )
 
@@ -242,10 +242,10 @@
         return find_zone(self.table, router_id) == self.identity.availability_zone
 
     def _collect_reader_rows(self) -> tuple[ReaderRow, ...]:
-        return collect_readers(self.source_readers, self.table, self.options, self._now_s)
+        return collect_reader_rows(self.source_readers, self.table, self.options, self._now_s)
 
     def _collect_quarantine_rows(self) -> tuple[QuarantineRow, ...]:
-        return collect_rows(self.quarantine, self._now_s)
+        return collect_quarantine_rows(self.quarantine, self._now_s)
 
     def _list_other_owners(self, pool: str) -> tuple[str, ...]:
         owners = self.placement.pool_owners.get(pool, ())
@@ -258,8 +258,8 @@
         self._update_ownership(now_s)
         mark_cold_engines(self, now_s)
         self._deliver_messages(now_s)
-        if self.quarantine.is_news:
-            refuse_waiting(self, now_s)
+        if self.quarantine.has_new_holds:
+            refuse_quarantined_requests(self, now_s)
             self._deliver_messages(now_s)
 
     def _deliver_messages(self, now_s: float) -> None:
@@ -299,7 +299,7 @@
             account.changed = True
 
     def _report_member_changes(self) -> None:
-        changes, self.table.changes = self.table.changes, []
+        changes, self.table.unreported_changes = self.table.unreported_changes, []
         for change in changes:
             self.actions.add(MemberStateChanged(change))
 
@@ -318,7 +318,7 @@
         clear_queues(self.engine_queues, now_s)
         self.entry.advertised_requests.clear()
         self.prober.pending.clear()
-        self.prober.missed.clear()
+        self.prober.consecutive_misses.clear()
         for member in self.table.members.values():
             if member.state is MemberState.SUSPECT:
                 member.suspect_deadline_s = now_s + self.options.suspicion_s
--- a/packages/core/src/myrtlehook_core/process/server_notice_handlers.py
+++ b/packages/core/src/myrtlehook_core/process/server_notice_handlers.py
@@ -1,4 +1,4 @@
-"""What the core does when a backend server says something of itself in an answer."""
+"""Handlers for notices that a backend server gives in an answer: leaving, or back-off."""
 
 from typing import TYPE_CHECKING
 
@@ -6,8 +6,8 @@
 from myrtlehook_core.process.actions import ServerBackoffReported, ServerLeavingReported
 from myrtlehook_core.process.backoffs import record_backoff
 from myrtlehook_core.process.bidding import send_bid
-from myrtlehook_core.process.leaving_servers import make_row, note_leaving
-from myrtlehook_core.process.members import count_news
+from myrtlehook_core.process.leaving_servers import make_leaving_row, record_leaving
+from myrtlehook_core.process.members import compute_news_sends
 from myrtlehook_core.process.membership_messages import LeavingNotice
 from myrtlehook_core.process.refusals import refuse_unservable
 
@@ -16,29 +16,30 @@
 
 
 def on_server_noticed(core: "RouterCore", event: events.ServerNoticed, now_s: float) -> None:
-    """Take what an answer said of its server."""
+    """Handle the notices in an answer of a backend server."""
     if event.leaving:
-        _note_leaving(core, event)
+        _record_leaving(core, event)
     if event.backoff_until_s > now_s:
-        _note_backoff(core, event, now_s)
+        _record_backoff(core, event, now_s)
 
 
-def take_leaving_notice(
+def handle_leaving_notice(
     core: "RouterCore", sender: str, message: LeavingNotice, now_s: float
 ) -> None:
-    """Take what a server has told another router, as the server's owner."""
-    if note_leaving(core.leaving_servers, message.row, count_news(core.table)):
+    """Record, as a server's owner, that another router has learned that the server leaves."""
+    if record_leaving(core.leaving_servers, message.row, compute_news_sends(core.table)):
         core.actions.add(ServerLeavingReported(message.row.backend_server, sender))
 
 
-def _note_leaving(core: "RouterCore", event: events.ServerNoticed) -> None:
-    """Note that a server leaves, and tell its owner, which else goes on granting it.
+def _record_leaving(core: "RouterCore", event: events.ServerNoticed) -> None:
+    """Record that a server leaves, and notify its owner, which would otherwise keep granting it.
 
-    All others hear of it with the next probes; until then the owner refuses what they ask.
+    All other routers learn of it with the next probes; until then the owner refuses their
+    requests for the server.
     """
     name = event.backend_server
-    row = make_row(core.leaving_servers, name)
-    if not note_leaving(core.leaving_servers, row, count_news(core.table)):
+    row = make_leaving_row(core.leaving_servers, name)
+    if not record_leaving(core.leaving_servers, row, compute_news_sends(core.table)):
         return
     core.actions.add(ServerLeavingReported(name, "answer", event.request_id))
     owner = core.placement.server_owners.get(name)
@@ -46,10 +47,10 @@
         core.outbox.add(owner, LeavingNotice(row))
 
 
-def _note_backoff(core: "RouterCore", event: events.ServerNoticed, now_s: float) -> None:
+def _record_backoff(core: "RouterCore", event: events.ServerNoticed, now_s: float) -> None:
     name = event.backend_server
     server = core.configuration.backend_servers.get(name)
-    # Its entry may have gone for a moment: its word holds when it is back.
+    # The server's entry may be missing for a moment; the back-off applies once it is back.
     pool = "" if server is None else server.pool
     entry = core.entry
     if not record_backoff(entry.backoffs, name, pool, event.backoff_until_s):
@@ -57,6 +58,7 @@
     core.actions.add(ServerBackoffReported(name, event.backoff_until_s, event.request_id))
     owner = core.placement.server_owners.get(name)
     if owner is not None and entry.advertised_requests.get(owner):
-        # Bids tell it: an owner that does not know would grant slots that come back unused.
+        # Bids carry the back-off. An owner that does not know of it would grant slots that are
+        # returned unused.
         send_bid(entry, pool, owner, core.outbox, now_s)
     refuse_unservable(entry, core.entry_context(), now_s)
--- a/packages/core/src/myrtlehook_core/process/source_handlers.py
+++ b/packages/core/src/myrtlehook_core/process/source_handlers.py
@@ -1,4 +1,4 @@
-"""What the core does with what the source publishes, read here or told by peers."""
+"""Handlers for what the configuration source publishes, read here or received from peers."""
 
 from typing import TYPE_CHECKING
 
@@ -10,19 +10,19 @@
     FetchPart,
     ReadSource,
 )
-from myrtlehook_core.process.leaving_servers import note_leaving
-from myrtlehook_core.process.members import count_news
+from myrtlehook_core.process.leaving_servers import record_leaving
+from myrtlehook_core.process.members import compute_news_sends
 from myrtlehook_core.process.membership_messages import LeavingRow, News
 from myrtlehook_core.process.messages import ConfigurationQuery
-from myrtlehook_core.process.probing import announce, announce_near
+from myrtlehook_core.process.probing import announce_news, announce_news_in_zone
 from myrtlehook_core.process.source_messages import ServerRow, ServersQuery, ServersReply
 from myrtlehook_core.process.source_readers import (
-    knows_outage,
-    note_answer,
-    note_failure,
-    readers_before,
-    take_readers,
-    tick_readers,
+    apply_reader_rows,
+    find_readers_before,
+    had_recent_outage,
+    record_answer,
+    record_failure,
+    update_reading,
 )
 from myrtlehook_core.version.configurations import BackendServer, ConfigurationVersion
 from myrtlehook_core.version.discovery import (
@@ -47,117 +47,117 @@
 PLATFORM = "platform"
 
 DOCUMENT_QUERY_INTERVAL_S = 0.5
-"""Documents that have not come are asked for again this often."""
+"""How often missing documents of a configuration are asked for."""
 
 SERVERS_QUERY_INTERVAL_S = 0.1
-"""A peer that knows more of the backend servers is asked at most this often."""
+"""The shortest interval between queries to peers that know newer backend servers."""
 
 
 def on_configuration(core: "RouterCore", event: events.ConfigurationRead, now_s: float) -> None:
-    """Take a whole configuration as the source publishes it, and tell of a new one."""
+    """Apply a whole configuration as the source publishes it, and announce it if it is new."""
     result = take_document(core.exchange, event.text, PLATFORM)
-    take_configuration(core, result)
+    report_configuration(core, result)
     if isinstance(result, Accepted):
-        _announce(core)
+        _announce_source_news(core)
 
 
 def on_servers(core: "RouterCore", event: events.BackendServersRead, now_s: float) -> None:
-    """Take the source's list of backend servers, and tell of changes."""
-    after_outage = event.after_outage or knows_outage(core.source_readers, now_s)
+    """Apply the source's list of backend servers, and announce changes."""
+    after_outage = event.after_outage or had_recent_outage(core.source_readers, now_s)
     zones = event.evacuated_zones
     if take_servers(core.discovery, event.servers, after_outage, now_s, event.source_order, zones):
-        tell_servers(core, PLATFORM)
-        _announce(core)
+        report_servers(core, PLATFORM)
+        _announce_source_news(core)
 
 
 def on_source_answered(core: "RouterCore", event: events.SourceAnswered, now_s: float) -> None:
-    """Note that the source answers this router."""
-    note_answer(core.source_readers, now_s)
+    """Record that the source answers this router."""
+    record_answer(core.source_readers, now_s)
 
 
 def on_source_failed(core: "RouterCore", event: events.SourceFailed, now_s: float) -> None:
-    """Note that the source does not answer this router."""
-    note_failure(core.source_readers)
+    """Record that the source does not answer this router."""
+    record_failure(core.source_readers)
 
 
 def tick_source(core: "RouterCore", now_s: float) -> None:
     """Decide whether this router reads the source."""
-    if tick_readers(core.source_readers, core.table, core.options, now_s):
-        before = readers_before(core.source_readers, core.table, core.options, now_s)
+    if update_reading(core.source_readers, core.table, core.options, now_s):
+        before = find_readers_before(core.source_readers, core.table, core.options, now_s)
         core.actions.add(ReadSource(core.source_readers.reading, before))
 
 
 def sweep_source(core: "RouterCore", now_s: float) -> None:
-    """Ask again for what has not come, and drop servers whose entries did not return."""
-    query_documents(core, now_s)
+    """Ask again for missing documents, and drop servers whose lapsed entries did not return."""
+    query_missing_documents(core, now_s)
     if expire_lapsed(core.discovery, now_s):
-        tell_servers(core, PLATFORM)
+        report_servers(core, PLATFORM)
 
 
-def hear_source(core: "RouterCore", sender: str, news: News, now_s: float) -> None:
-    """Take a peer's news of the source, and ask for what it knows that this router lacks."""
+def apply_source_news(core: "RouterCore", sender: str, news: News, now_s: float) -> None:
+    """Apply a peer's news of the source, and ask the peer for what this router lacks."""
     version = ConfigurationVersion(news.configuration_number, news.configuration_digest)
     if hear_version(core.exchange, version, sender):
-        query_documents(core, now_s)
-    take_readers(core.source_readers, core.identity.router_id, news.readers, now_s)
+        query_missing_documents(core, now_s)
+    apply_reader_rows(core.source_readers, core.identity.router_id, news.readers, now_s)
     lacking = news.servers_order > core.discovery.source_order
     if lacking and now_s >= core.source_readers.next_query_s:
         core.source_readers.next_query_s = now_s + SERVERS_QUERY_INTERVAL_S
         core.outbox.add(sender, ServersQuery(core.discovery.source_order))
 
 
-def take_servers_query(
+def handle_servers_query(
     core: "RouterCore", sender: str, message: ServersQuery, now_s: float
 ) -> None:
-    """Tell a peer what changed among the backend servers."""
+    """Send a peer the changes of backend servers that it asks for."""
     changes = collect_changes(core.discovery, message.known_order)
-    rows = tuple(_make_row(server, changes.lapsed) for server in changes.servers)
+    rows = tuple(_make_server_row(server, changes.lapsed) for server in changes.servers)
     zones = tuple(sorted(changes.evacuated_zones))
     reply = ServersReply(changes.order, changes.whole, rows, changes.gone, zones)
     core.outbox.add(sender, reply)
 
 
-def take_servers_reply(
+def handle_servers_reply(
     core: "RouterCore", sender: str, message: ServersReply, now_s: float
 ) -> None:
-    """Take what a peer knows of the backend servers."""
+    """Apply the changes of backend servers that a peer knows."""
     core.source_readers.next_query_s = now_s
     changes = ServerChanges(
         order=message.order,
         whole=message.whole,
-        servers=tuple(_read_row(row) for row in message.rows),
+        servers=tuple(_parse_server_row(row) for row in message.rows),
         lapsed=frozenset(row.name for row in message.rows if row.lapsed),
         gone=message.gone,
         evacuated_zones=frozenset(message.evacuated_zones),
     )
-    if take_changes(core.discovery, changes, knows_outage(core.source_readers, now_s), now_s):
-        tell_servers(core, sender)
-        _pass_on_news(core, sender)
+    if take_changes(core.discovery, changes, had_recent_outage(core.source_readers, now_s), now_s):
+        report_servers(core, sender)
+        _relay_source_news(core, sender)
 
 
-def tell_servers(core: "RouterCore", source: str) -> None:
-    """Tell the shell of changed backend servers, and let the leaving ones ride on probes."""
+def report_servers(core: "RouterCore", source: str) -> None:
+    """Report changed backend servers to the shell, and record the leaving ones as news."""
     known = core.discovery.known
     leaving = tuple(sorted(name for name, server in known.items() if server.leaving))
     for name in leaving:
-        note_leaving(core.leaving_servers, LeavingRow(name, 0), count_news(core.table))
+        record_leaving(core.leaving_servers, LeavingRow(name, 0), compute_news_sends(core.table))
     order = core.discovery.source_order
     zones = tuple(sorted(core.discovery.evacuated_zones))
     core.actions.add(BackendServersChanged(tuple(known), leaving, order, source, zones))
 
 
-def take_configuration(core: "RouterCore", result: Accepted | Rejected | None) -> None:
-    """Tell the shell what became of a configuration."""
+def report_configuration(core: "RouterCore", result: Accepted | Rejected | None) -> None:
+    """Report to the shell that a configuration was accepted or rejected."""
     if isinstance(result, Accepted):
         core.actions.add(ConfigurationChanged(result.configuration, result.source))
         if result.source != PLATFORM:
-            _pass_on_news(core, result.source)
+            _relay_source_news(core, result.source)
     if isinstance(result, Rejected):
         core.actions.add(ConfigurationRejected(result.number, result.findings))
 
 
-def query_documents(core: "RouterCore", now_s: float) -> None:
-    """Ask who offered a configuration, again and again, for what is missing of it."""
+def query_missing_documents(core: "RouterCore", now_s: float) -> None:
+    """Ask the router or platform that offered a configuration for its missing parts, if due."""
     offer = core.exchange.offer
     if offer is None or now_s < offer.next_query_s:
         return
@@ -169,19 +169,19 @@
     core.outbox.add(offer.source, ConfigurationQuery(missing_digests(core.exchange)))
 
 
-def _announce(core: "RouterCore") -> None:
-    """Tell all routers at once where few read the source; elsewhere all read it anyway."""
+def _announce_source_news(core: "RouterCore") -> None:
+    """Announce news at once if only a few routers read the source; otherwise all read it anyway."""
     if core.options.source_readers:
-        announce(core.probe_context())
+        announce_news(core.probe_context())
 
 
-def _pass_on_news(core: "RouterCore", source: str) -> None:
-    """Tell the own zone what a router of another one has told, which told only a few here."""
+def _relay_source_news(core: "RouterCore", source: str) -> None:
+    """Announce news from another zone to the own one, where only a few received it."""
     if core.options.source_readers and not core.is_in_own_zone(source):
-        announce_near(core.probe_context())
+        announce_news_in_zone(core.probe_context())
 
 
-def _make_row(server: BackendServer, lapsed: frozenset[str]) -> ServerRow:
+def _make_server_row(server: BackendServer, lapsed: frozenset[str]) -> ServerRow:
     return ServerRow(
         name=server.name,
         pool=server.pool,
@@ -196,7 +196,7 @@
     )
 
 
-def _read_row(row: ServerRow) -> BackendServer:
+def _parse_server_row(row: ServerRow) -> BackendServer:
     return BackendServer(
         name=row.name,
         pool=row.pool,
--- a/packages/core/src/myrtlehook_core/process/source_messages.py
+++ b/packages/core/src/myrtlehook_core/process/source_messages.py
@@ -1,7 +1,7 @@
-"""What routers tell each other of the source; see ``messages`` for the rules.
+"""Messages about the configuration source; see ``messages`` for the rules.
 
-The source publishes configurations and backend servers. Few routers read it, and the
-others hear from them.
+The source publishes configurations and backend servers. A few routers read it, and the
+others learn from them what it publishes.
 """
 
 import msgspec
@@ -10,15 +10,15 @@
 
 
 class ReaderRow(msgspec.Struct, frozen=True, array_like=True):
-    """How long ago a router said that the source answers it."""
+    """A router that reads the source, and how long ago it reported that the source answers it."""
 
     router_id: str
     age_ms: int
-    """Before this message was sent, so that no clocks are compared."""
+    """How long before this message that report was. An age, so that no clocks are compared."""
 
 
 class ServerRow(msgspec.Struct, frozen=True, array_like=True):
-    """One backend server as discovery has it."""
+    """One backend server as discovery knows it."""
 
     name: str
     pool: str
@@ -29,24 +29,24 @@
     leaving: bool
     instance: str
     lapsed: bool
-    """Its entry was missing after an outage of the source, and may still come back."""
+    """Whether its entry was missing after an outage of the source and may still come back."""
     cold_ms: int = 0
 
 
 class ServersQuery(msgspec.Struct, frozen=True, array_like=True, tag=25):
-    """Asks a peer for what changed among the backend servers."""
+    """Asks a peer for the changes of backend servers since ``known_order``."""
 
     known_order: SourceOrder
-    """Of the source, as the sender has it."""
+    """The source's order up to which the sender knows the backend servers."""
 
 
 class ServersReply(msgspec.Struct, frozen=True, array_like=True, tag=26):
-    """What changed among the backend servers after the order that was asked for."""
+    """Answers a ``ServersQuery`` with the changes of backend servers after its order."""
 
     order: SourceOrder
     whole: bool
-    """``rows`` are all servers; those that are not among them are gone."""
+    """Whether ``rows`` lists all servers, so that any server not among them is gone."""
     rows: tuple[ServerRow, ...]
     gone: tuple[str, ...]
     evacuated_zones: tuple[str, ...] = ()
-    """All of them, whatever was asked for."""
+    """All evacuated zones, whatever order was asked for."""
--- a/packages/router/src/myrtlehook_router/process/core_tasks.py
+++ b/packages/router/src/myrtlehook_router/process/core_tasks.py
@@ -295,10 +295,10 @@
         _log.info(
             "member changed",
             member=change.router_id,
-            before=change.before.name.lower(),
+            before=change.previous_state.name.lower(),
             state=change.state.name.lower(),
             cause=change.cause,
-            held_s=round(change.held_s, 3),
+            held_s=round(change.previous_state_age_s, 3),
             incarnation=change.incarnation,
         )
 
--- a/tests/steps/admission_steps.py
+++ b/tests/steps/admission_steps.py
@@ -26,11 +26,11 @@
 from myrtlehook_core.process.accountants import compute_level, record_demand
 from myrtlehook_core.process.admission_messages import DemandReport, DemandRow
 from myrtlehook_core.process.ejections import (
-    FAILURES_IN_A_ROW,
+    FAILURES_TO_EJECT,
     FIRST_EJECTION_S,
-    LONGEST_EJECTION_S,
+    MAX_EJECTION_S,
     ServerHealth,
-    note_end,
+    record_outcome,
 )
 from myrtlehook_core.process.prompt_caches import PromptCache, count_unread_tokens, record_parts_use
 from myrtlehook_core.process.shares import Shares, apply_level, record_asked
@@ -305,9 +305,9 @@
     history.run_until(1.5)
     core = history.alive[next(iter(history.alive))]
     load = core.engine_queues.loads["e0"]
-    for _ in range(FAILURES_IN_A_ROW):
-        note_end(load.health, True, history.now_s)
-    history.run_until(history.now_s + LONGEST_EJECTION_S)
+    for _ in range(FAILURES_TO_EJECT):
+        record_outcome(load.health, True, history.now_s)
+    history.run_until(history.now_s + MAX_EJECTION_S)
     entry = next(iter(history.alive))
     first = make_request("first", "a", 1, 300, history.now_s, True)
     history.ask(entry, first)
@@ -323,8 +323,8 @@
 @then("a crash that ends many requests at once ejects a server once, and for the shortest time")
 def check_burst(context: Any) -> None:
     health = ServerHealth()
-    ejections = [note_end(health, True, 1.0) for _ in range(20)]
+    ejections = [record_outcome(health, True, 1.0) for _ in range(20)]
     assert ejections.count(True) == 1, ejections
     assert health.ejected_until_s == 1.0 + FIRST_EJECTION_S, health
-    assert note_end(health, True, 2.0)
+    assert record_outcome(health, True, 2.0)
     assert health.ejected_until_s == 2.0 + 2 * FIRST_EJECTION_S, health
--- a/tests/steps/entry_steps.py
+++ b/tests/steps/entry_steps.py
@@ -117,7 +117,7 @@
     context.history.run_until(2.0)
     core = next(iter(context.history.alive.values()))
     load = core.engine_queues.loads[context.first]
-    load.health.failures = 9
+    load.health.consecutive_failures = 9
     load.health.ejected_until_s = 1e9
     core.admissions.recent_parts[context.first] = {}
 
@@ -134,7 +134,7 @@
 def check_forgotten(context: Any) -> None:
     core = next(iter(context.history.alive.values()))
     assert list(core.engine_queues.loads) == [context.second], core.engine_queues.loads
-    assert core.engine_queues.loads[context.second].health.failures == 0
+    assert core.engine_queues.loads[context.second].health.consecutive_failures == 0
     assert context.first not in core.admissions.recent_parts
 
 
--- a/tests/steps/link_steps.py
+++ b/tests/steps/link_steps.py
@@ -44,7 +44,7 @@
         dead = [
             member.router_id
             for member in core.table.members.values()
-            if member.state is MemberState.DEAD and not member.silent
+            if member.state is MemberState.DEAD and not member.unconfirmed
         ]
         context.deaths += dead
 
--- a/tests/steps/passer_steps.py
+++ b/tests/steps/passer_steps.py
@@ -19,7 +19,7 @@
     actions,
     events,
 )
-from myrtlehook_core.process.members import take_row
+from myrtlehook_core.process.members import apply_member_row
 from myrtlehook_core.process.membership_messages import Announcement, MemberRow, News
 from myrtlehook_router.connection.introductions import TAKEN
 from myrtlehook_router.connection.passing import VERDICT_TIMEOUT_S, Passer, PassingPlaces
@@ -39,7 +39,7 @@
 
 def _tell(context: Any, state: MemberState, now_s: float) -> None:
     row = MemberRow(NEIGHBOUR, "", 1, int(state), "hall-1")
-    take_row(context.members, row, now_s, 1.0)
+    apply_member_row(context.members, row, now_s, 1.0)
 
 
 def _accept_caller() -> tuple[GreenSocket, Any]:
--- a/tests/steps/passing_steps.py
+++ b/tests/steps/passing_steps.py
@@ -26,7 +26,7 @@
     note_short,
     passes_on,
 )
-from myrtlehook_core.process.members import take_row
+from myrtlehook_core.process.members import apply_member_row
 from myrtlehook_core.process.membership_messages import MemberRow
 from myrtlehook_platform.settings import FLEET_KEY
 from myrtlehook_router.connection.introductions import Introduction, write_introduction
@@ -229,7 +229,7 @@
     for number in range(near + far):
         zone = "hall-1" if number < near else "hall-2"
         row = MemberRow(f"r{number}:1", "", 1, 0, zone)
-        take_row(table, row, 0.0, 1.0)
+        apply_member_row(table, row, 0.0, 1.0)
     context.members, context.neighbours, context.near = table, Neighbours(), near
     context.draw = random.Random(1).random
     context.chosen = []
--- a/tests/steps/property_steps.py
+++ b/tests/steps/property_steps.py
@@ -23,7 +23,7 @@
 from myrtlehook_core.process import messages
 from myrtlehook_core.process.hashing import rank_routers
 from myrtlehook_core.process.ledgers import Ledger, compute_total_units, merge_report
-from myrtlehook_core.process.members import Member, MemberTable, take_row
+from myrtlehook_core.process.members import Member, MemberTable, apply_member_row
 from myrtlehook_core.process.membership_messages import MemberRow
 from myrtlehook_core.process.messages import (
     Envelope,
@@ -212,7 +212,7 @@
         table = MemberTable(RouterIdentity("me", "a:1", 1), 1)
         last = (-1, -1)
         for incarnation, state in heard:
-            take_row(table, MemberRow("other", "b:1", incarnation, state), 0.0, 1.0)
+            apply_member_row(table, MemberRow("other", "b:1", incarnation, state), 0.0, 1.0)
             member = table.members.get("other")
             if member is not None:
                 now = (member.incarnation, int(member.state))
--- a/tests/steps/quarantine_property_steps.py
+++ b/tests/steps/quarantine_property_steps.py
@@ -24,12 +24,12 @@
 )
 from myrtlehook_core.process.quarantine import (
     FIRST_HOLD_S,
-    SUSPECTS,
-    VERDICTS,
+    MAX_SUSPECTS,
+    MAX_VERDICTS,
     Quarantine,
     count_end,
-    find_hold_s,
-    hold,
+    find_remaining_hold_s,
+    hold_request,
 )
 from myrtlehook_core.process.quarantine_messages import ServerEndReport
 from standins.histories import History, Network
@@ -118,7 +118,8 @@
         assert len(held) <= 0.05 * len(asked), f"{len(held)} of {len(asked)} were held back"
         assert len(served) >= 0.8 * len(asked), f"{len(served)} of {len(asked)} were served"
         assert not any(
-            find_hold_s(core.quarantine, POPULAR, history.now_s) for core in history.alive.values()
+            find_remaining_hold_s(core.quarantine, POPULAR, history.now_s)
+            for core in history.alive.values()
         )
 
     check()
@@ -152,7 +153,7 @@
     return [
         entry
         for entry, core in history.alive.items()
-        if find_hold_s(core.quarantine, name.encode(), history.now_s)
+        if find_remaining_hold_s(core.quarantine, name.encode(), history.now_s)
     ]
 
 
@@ -248,10 +249,10 @@
         now_s += 1.0
         suspect = count_end(quarantine, _report(), now_s)
         assert suspect is not None
-        hold(quarantine, SPOILT, suspect, now_s)
-        assert find_hold_s(quarantine, SPOILT, now_s) == expected_s
+        hold_request(quarantine, SPOILT, suspect, now_s)
+        assert find_remaining_hold_s(quarantine, SPOILT, now_s) == expected_s
         now_s += expected_s
-        assert find_hold_s(quarantine, SPOILT, now_s) == 0.0
+        assert find_remaining_hold_s(quarantine, SPOILT, now_s) == 0.0
 
 
 def _hold(quarantine: Quarantine, now_s: float) -> None:
@@ -259,7 +260,7 @@
     assert count_end(quarantine, _report(200, 150), now_s) is not None
     suspect = count_end(quarantine, _report(80), now_s)
     assert suspect is not None
-    hold(quarantine, SPOILT, suspect, now_s)
+    hold_request(quarantine, SPOILT, suspect, now_s)
 
 
 @then("a held request is refused while it waits for an engine, and while it waits for a slot")
@@ -320,11 +321,11 @@
 
 @then("{count:d} requests that ended servers leave {counted:d} counted and {held:d} held")
 def check_bounds(context: Any, count: int, counted: int, held: int) -> None:
-    assert (counted, held) == (SUSPECTS, VERDICTS)
+    assert (counted, held) == (MAX_SUSPECTS, MAX_VERDICTS)
     quarantine = Quarantine(first_serial=1)
     for number in range(count):
         name = str(number).encode()
         suspect = count_end(quarantine, _report(name=name), 10.0)
         assert suspect is not None
-        hold(quarantine, name, suspect, 10.0)
+        hold_request(quarantine, name, suspect, 10.0)
     assert (len(quarantine.suspects), len(quarantine.verdicts)) == (counted, held)
--- a/tests/steps/server_notice_property_steps.py
+++ b/tests/steps/server_notice_property_steps.py
@@ -12,12 +12,12 @@
 
 from myrtlehook_core import CoreOptions, RefusalReason, events
 from myrtlehook_core.process.leaving_servers import (
-    REMEMBERED_S,
+    LEAVING_MEMORY_S,
     LeavingServers,
-    forget_left,
-    make_row,
-    note_incarnation,
-    note_leaving,
+    forget_removed_servers,
+    make_leaving_row,
+    record_incarnation,
+    record_leaving,
 )
 from myrtlehook_router.request.headers import HeaderNames
 from myrtlehook_router.request.server_notices import read_notice
@@ -253,25 +253,25 @@
 @then("that a server leaves is remembered for an hour after its entry has gone, and no longer")
 def check_forgetting(context: Any) -> None:
     leaving = LeavingServers()
-    note_leaving(leaving, make_row(leaving, "e"), 1)
-    forget_left(leaving, {"e"}, 0.0)
-    forget_left(leaving, set(), 10.0)
-    forget_left(leaving, set(), 9.0 + REMEMBERED_S)
+    record_leaving(leaving, make_leaving_row(leaving, "e"), 1)
+    forget_removed_servers(leaving, {"e"}, 0.0)
+    forget_removed_servers(leaving, set(), 10.0)
+    forget_removed_servers(leaving, set(), 9.0 + LEAVING_MEMORY_S)
     assert "e" in leaving.servers
-    forget_left(leaving, {"e"}, 9.5 + REMEMBERED_S)
-    forget_left(leaving, set(), 11.0 + REMEMBERED_S)
+    forget_removed_servers(leaving, {"e"}, 9.5 + LEAVING_MEMORY_S)
+    forget_removed_servers(leaving, set(), 11.0 + LEAVING_MEMORY_S)
     assert "e" in leaving.servers, "its time begins anew once it was named again"
-    forget_left(leaving, set(), 12.0 + 2 * REMEMBERED_S)
+    forget_removed_servers(leaving, set(), 12.0 + 2 * LEAVING_MEMORY_S)
     assert not leaving.servers
 
 
 @then("a late report of the start that leaves does not bring it back, but a later start does")
 def check_incarnations(context: Any) -> None:
     leaving = LeavingServers()
-    note_incarnation(leaving, "e", 5)
-    note_leaving(leaving, make_row(leaving, "e"), 1)
-    note_incarnation(leaving, "e", 5)
-    note_incarnation(leaving, "e", 4)
+    record_incarnation(leaving, "e", 5)
+    record_leaving(leaving, make_leaving_row(leaving, "e"), 1)
+    record_incarnation(leaving, "e", 5)
+    record_incarnation(leaving, "e", 4)
     assert "e" in leaving.servers
-    note_incarnation(leaving, "e", 6)
+    record_incarnation(leaving, "e", 6)
     assert "e" not in leaving.servers
