--- a/packages/core/src/myrtlehook_core/connection/__init__.py
+++ b/packages/core/src/myrtlehook_core/connection/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for one connection to a backend server: the reassembly of its stream."""
+"""State of one connection to a backend server: the reassembly of its stream."""
--- a/packages/core/src/myrtlehook_core/connection/streams.py
+++ b/packages/core/src/myrtlehook_core/connection/streams.py
@@ -1,4 +1,4 @@
-"""Reassembly of a resumable stream: every event once, in order, none missing."""
+"""Reassembly of a resumable stream: delivers every event exactly once and in order."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -12,12 +12,12 @@
     GAP = "gap"
     """An earlier event is missing: resume the stream from ``next_offset``."""
     FOREIGN = "foreign"
-    """The event belongs to another request and must reach no caller of this one."""
+    """The event belongs to another request and must not be delivered to this client."""
 
 
 @dataclass(slots=True)
 class StreamPosition:
-    """How far the answer to one request has been delivered."""
+    """How far the response to one request has been delivered."""
 
     request_id: str
     next_offset: int = 0
@@ -25,7 +25,7 @@
 
 
 def judge_event(position: StreamPosition, request_id: str, offset: int) -> EventVerdict:
-    """Decide on one event and, if it is to be delivered, move the position on."""
+    """Decide what to do with an event; if it is to be delivered, advance the position."""
     if request_id != position.request_id:
         return EventVerdict.FOREIGN
     if offset < position.next_offset:
--- a/packages/core/src/myrtlehook_core/process/admissions.py
+++ b/packages/core/src/myrtlehook_core/process/admissions.py
@@ -52,7 +52,7 @@
 )
 from myrtlehook_core.request.charges import (
     cancel_charge,
-    charge_known,
+    charge_estimate,
     grow_charge,
 )
 from myrtlehook_core.request.outcomes import DropReason, RefusalReason, RetryReason
@@ -62,7 +62,7 @@
 def is_admitted_by_tokens(context: IngressContext, request: RequestSpecification) -> bool:
     """Return whether a request's pool has model engines, whose load is counted in tokens."""
     pool = context.configuration.pools.get(request.pool)
-    return pool is not None and pool.engine is not None
+    return pool is not None and pool.engine_capacity is not None
 
 
 def open_admission(
@@ -311,7 +311,7 @@
     priority_units = compute_virtual_service_units(entry, make_pool_key(request))
     workspace = context.entry_context.configuration.workspaces.get(request.workspace)
     share = 1.0 if workspace is None else workspace.share
-    charge_known(account, request.request_id, float(find_share_tokens(request)), share)
+    charge_estimate(account, request.request_id, float(find_share_tokens(request)), share)
     attempt = entry.attempts.get(request.request_id, 0) + 1
     entry.attempts[request.request_id] = attempt
     if attempt == 1:
--- a/packages/core/src/myrtlehook_core/process/bidding.py
+++ b/packages/core/src/myrtlehook_core/process/bidding.py
@@ -113,7 +113,7 @@
 
 
 def _is_settled(queue: WorkspaceQueue, settled_before_s: float) -> bool:
-    return queue.offered_s is not None and queue.offered_s <= settled_before_s
+    return queue.became_nonempty_s is not None and queue.became_nonempty_s <= settled_before_s
 
 
 def send_reports(
@@ -279,8 +279,8 @@
 ) -> WaitingState:
     if not waiting:
         return WaitingState.NOTHING
-    if now_s - account.waiting_seen_s > options.idle_grace_s:
-        account.waiting_since_s = now_s
-    account.waiting_seen_s = now_s
-    returned = now_s - account.waiting_since_s <= options.idle_grace_s
+    if now_s - account.last_waiting_s > options.idle_grace_s:
+        account.returned_at_s = now_s
+    account.last_waiting_s = now_s
+    returned = now_s - account.returned_at_s <= options.idle_grace_s
     return WaitingState.RETURNED if returned else WaitingState.STEADY
--- a/packages/core/src/myrtlehook_core/process/cold_engines.py
+++ b/packages/core/src/myrtlehook_core/process/cold_engines.py
@@ -66,7 +66,8 @@
     # One grant more than the number of intervals in a second can fall into that second.
     pace_per_s = max(limit_per_s / MAX_CONCURRENT_OWNERS - 1.0, MIN_PACE_FRACTION * cold_rate_per_s)
     return ColdPace(
-        grant_interval_s=1.0 / min(pace_per_s, cold_rate_per_s), default_cold_s=cold_start.lasts_s
+        grant_interval_s=1.0 / min(pace_per_s, cold_rate_per_s),
+        default_cold_s=cold_start.duration_s,
     )
 
 
@@ -130,7 +131,7 @@
         pool = configuration.pools.get(server.pool)
         if pool is None or pool.cold_start is None:
             continue
-        default_until_s = now_s + pool.cold_start.lasts_s
+        default_until_s = now_s + pool.cold_start.duration_s
         known = listed.get(name)
         until_s = -math.inf
         reason = ""
--- a/packages/core/src/myrtlehook_core/process/engine_queues.py
+++ b/packages/core/src/myrtlehook_core/process/engine_queues.py
@@ -63,11 +63,11 @@
             del queues.loads[name]
     for name in sorted(names - queues.loads.keys()):
         pool = configuration.pools.get(configuration.backend_servers[name].pool)
-        if pool is not None and pool.engine is not None:
+        if pool is not None and pool.engine_capacity is not None:
             similar = _find_similar_estimate(queues, configuration, pool.name, now_s)
             queues.loads[name] = EngineLoad(
                 owned_since_s=now_s,
-                cache=PromptCache(pool.engine.memory_tokens),
+                cache=PromptCache(pool.engine_capacity.memory_tokens),
                 model=make_model(similar),
                 pace=make_pace(options or CoreOptions(), pool.cold_start),
             )
--- a/packages/core/src/myrtlehook_core/process/event_handlers.py
+++ b/packages/core/src/myrtlehook_core/process/event_handlers.py
@@ -83,8 +83,8 @@
 )
 from myrtlehook_core.request.requests import RequestSpecification
 from myrtlehook_core.version.exchange import (
-    take_document,
-    take_manifest,
+    handle_document,
+    handle_manifest,
 )
 
 if TYPE_CHECKING:
@@ -192,14 +192,14 @@
 
 
 def _on_manifest(core: "RouterCore", event: events.ManifestRead, now_s: float) -> None:
-    result = take_manifest(core.exchange, event.text, PLATFORM)
+    result = handle_manifest(core.exchange, event.text, PLATFORM)
     report_configuration(core, result)
     if result is None:
         query_missing_documents(core, now_s)
 
 
 def _on_part(core: "RouterCore", event: events.PartRead, now_s: float) -> None:
-    report_configuration(core, take_document(core.exchange, event.text, PLATFORM))
+    report_configuration(core, handle_document(core.exchange, event.text, PLATFORM))
 
 
 def _on_seeds(core: "RouterCore", event: events.SeedsNamed, now_s: float) -> None:
@@ -259,7 +259,7 @@
     if core.options.exchange_totals:
         pools = core.configuration.pools
         # Accountants compute the shares of pools whose admission counts tokens.
-        token_pools = {name for name, pool in pools.items() if pool.engine is not None}
+        token_pools = {name for name, pool in pools.items() if pool.engine_capacity is not None}
         keys = {key for key in find_keys_to_report(core.entry) if key.pool not in token_pools}
         send_reports(core.entry, core.placement, core.options, core.draw, core.outbox, keys, now_s)
 
--- a/packages/core/src/myrtlehook_core/process/message_handlers.py
+++ b/packages/core/src/myrtlehook_core/process/message_handlers.py
@@ -91,7 +91,7 @@
 )
 from myrtlehook_core.process.source_messages import ServersQuery, ServersReply
 from myrtlehook_core.request.outcomes import DropReason
-from myrtlehook_core.version.exchange import take_document
+from myrtlehook_core.version.exchange import handle_document
 
 if TYPE_CHECKING:
     from myrtlehook_core.process.routers import RouterCore
@@ -199,7 +199,7 @@
 def _handle_configuration_reply(
     core: "RouterCore", sender: str, message: ConfigurationReply, now_s: float
 ) -> None:
-    report_configuration(core, take_document(core.exchange, message.text, sender))
+    report_configuration(core, handle_document(core.exchange, message.text, sender))
     offer = core.exchange.offer
     if offer is not None and offer.manifest_text and not offer.texts:
         offer.next_query_s = now_s
--- a/packages/core/src/myrtlehook_core/process/source_handlers.py
+++ b/packages/core/src/myrtlehook_core/process/source_handlers.py
@@ -27,18 +27,18 @@
 from myrtlehook_core.version.configurations import BackendServer, ConfigurationVersion
 from myrtlehook_core.version.discovery import (
     ServerChanges,
-    collect_changes,
-    expire_lapsed,
-    take_changes,
-    take_servers,
+    apply_server_changes,
+    apply_server_list,
+    collect_server_changes,
+    expire_deadlines,
 )
 from myrtlehook_core.version.exchange import (
     Accepted,
     Rejected,
-    hear_version,
+    handle_document,
     missing_digests,
     missing_parts,
-    take_document,
+    record_advertised_version,
 )
 
 if TYPE_CHECKING:
@@ -55,7 +55,7 @@
 
 def on_configuration(core: "RouterCore", event: events.ConfigurationRead, now_s: float) -> None:
     """Apply a whole configuration as the source publishes it, and announce it if it is new."""
-    result = take_document(core.exchange, event.text, PLATFORM)
+    result = handle_document(core.exchange, event.text, PLATFORM)
     report_configuration(core, result)
     if isinstance(result, Accepted):
         _announce_source_news(core)
@@ -65,7 +65,9 @@
     """Apply the source's list of backend servers, and announce changes."""
     after_outage = event.after_outage or had_recent_outage(core.source_readers, now_s)
     zones = event.evacuated_zones
-    if take_servers(core.discovery, event.servers, after_outage, now_s, event.source_order, zones):
+    if apply_server_list(
+        core.discovery, event.servers, after_outage, now_s, event.source_order, zones
+    ):
         report_servers(core, PLATFORM)
         _announce_source_news(core)
 
@@ -90,14 +92,14 @@
 def sweep_source(core: "RouterCore", now_s: float) -> None:
     """Ask again for missing documents, and drop servers whose lapsed entries did not return."""
     query_missing_documents(core, now_s)
-    if expire_lapsed(core.discovery, now_s):
+    if expire_deadlines(core.discovery, now_s):
         report_servers(core, PLATFORM)
 
 
 def apply_source_news(core: "RouterCore", sender: str, news: News, now_s: float) -> None:
     """Apply a peer's news of the source, and ask the peer for what this router lacks."""
     version = ConfigurationVersion(news.configuration_number, news.configuration_digest)
-    if hear_version(core.exchange, version, sender):
+    if record_advertised_version(core.exchange, version, sender):
         query_missing_documents(core, now_s)
     apply_reader_rows(core.source_readers, core.identity.router_id, news.readers, now_s)
     lacking = news.servers_order > core.discovery.source_order
@@ -110,7 +112,7 @@
     core: "RouterCore", sender: str, message: ServersQuery, now_s: float
 ) -> None:
     """Send a peer the changes of backend servers that it asks for."""
-    changes = collect_changes(core.discovery, message.known_order)
+    changes = collect_server_changes(core.discovery, message.known_order)
     rows = tuple(_make_server_row(server, changes.lapsed) for server in changes.servers)
     zones = tuple(sorted(changes.evacuated_zones))
     reply = ServersReply(changes.order, changes.whole, rows, changes.gone, zones)
@@ -130,7 +132,9 @@
         gone=message.gone,
         evacuated_zones=frozenset(message.evacuated_zones),
     )
-    if take_changes(core.discovery, changes, had_recent_outage(core.source_readers, now_s), now_s):
+    if apply_server_changes(
+        core.discovery, changes, had_recent_outage(core.source_readers, now_s), now_s
+    ):
         report_servers(core, sender)
         _relay_source_news(core, sender)
 
--- a/packages/core/src/myrtlehook_core/request/__init__.py
+++ b/packages/core/src/myrtlehook_core/request/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for one request: its specification, queue place, charge and outcome."""
+"""State of one request: its specification, admission, queue, charge and outcome."""
--- a/packages/core/src/myrtlehook_core/request/admission.py
+++ b/packages/core/src/myrtlehook_core/request/admission.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from myrtlehook_core.request.outcomes import RefusalReason
-from myrtlehook_core.request.queues import WorkspaceQueue, expected_wait_s
+from myrtlehook_core.request.queues import WorkspaceQueue, estimate_wait_s
 
 MINIMUM_RETRY_AFTER_S = 1.0
 MAXIMUM_RETRY_AFTER_S = 600.0
@@ -59,7 +59,7 @@
     """Return whether the request at ``position`` may still be dispatched before its deadline."""
     if deadline_s <= now_s:
         return False
-    wait_s = expected_wait_s(queue, position, now_s)
+    wait_s = estimate_wait_s(queue, position, now_s)
     return wait_s is None or wait_s <= GIVE_UP_FACTOR * (deadline_s - now_s)
 
 
@@ -67,7 +67,7 @@
     """Return the retry delay for a client, from its workspace's own backlog and rate."""
     if queue is None:
         return MINIMUM_RETRY_AFTER_S
-    wait_s = expected_wait_s(queue, len(queue.waiting), now_s)
+    wait_s = estimate_wait_s(queue, len(queue.waiting), now_s)
     if wait_s is None:
         return MINIMUM_RETRY_AFTER_S
     return min(max(wait_s, MINIMUM_RETRY_AFTER_S), MAXIMUM_RETRY_AFTER_S)
--- a/packages/core/src/myrtlehook_core/request/charges.py
+++ b/packages/core/src/myrtlehook_core/request/charges.py
@@ -1,15 +1,16 @@
-"""How service is charged while a request's cost is still unknown.
+"""Charges workspaces for service while the cost of their requests is still unknown.
 
-A request is charged its workspace's running mean when it is dispatched, more as
-its stream outgrows that estimate, and its true cost when it ends. Without the
-early charge a workspace takes every slot before its first bill arrives.
+When a request is dispatched, its workspace is charged the running mean of its request
+costs. The charge is raised if the stream exceeds that estimate, and replaced by the true
+cost when the request ends. Without the early charge a workspace could occupy every slot
+before its first request is charged.
 """
 
 import math
 from dataclasses import dataclass, field
 
 INITIAL_MEAN_UNITS = 100.0
-"""Estimate for a workspace that has finished nothing yet, in service units."""
+"""Estimate for a workspace that has no finished request yet, in service units."""
 
 MEAN_WEIGHT = 0.1
 """Weight of the newest cost in the running mean (exponential average)."""
@@ -23,7 +24,7 @@
     samples: int = 0
 
     def add(self, cost_units: float) -> None:
-        """Take one finished request's cost into the mean."""
+        """Add the cost of a finished request to the mean."""
         self.samples += 1
         weight = max(MEAN_WEIGHT, 1.0 / self.samples)
         self.mean_units += weight * (cost_units - self.mean_units)
@@ -31,55 +32,57 @@
 
 @dataclass(slots=True)
 class ServiceAccount:
-    """What this router alone has served one workspace in one pool.
+    """The service of one workspace in one pool by this router alone.
 
-    ``served_units`` is virtual service: service units divided by the share that
-    was in force when they were charged, so a changed share never rewrites history.
+    ``served_units`` is virtual service: service units divided by the share that was in
+    force when they were charged, so that a changed share does not alter past charges.
     """
 
     row_id: int
-    """Names this account's row in the ledgers; a new account takes a new row."""
+    """Identifies this account's row in the ledgers; each new account gets a new row."""
     served_units: float = 0.0
     report_sequence: int = 0
     cost: RunningMean = field(default_factory=RunningMean)
     charges: dict[str, "Charge"] = field(default_factory=dict)
     changed: bool = False
+    """Changed since the last report to any ledger."""
     standby_changed: bool = False
-    """Changed since the standing-by ledgers last heard."""
+    """Has changes that were reported to the primary ledger but not to the standby ledgers yet."""
     last_active_s: float = 0.0
-    waiting_since_s: float = -math.inf
-    """When the workspace last came back from idle at this router."""
-    waiting_seen_s: float = -math.inf
+    returned_at_s: float = -math.inf
+    """When the workspace last returned from being idle at this router."""
+    last_waiting_s: float = -math.inf
+    """When a report last found requests of the workspace waiting."""
 
 
 @dataclass(slots=True)
 class Charge:
-    """What one dispatched request has been charged so far."""
+    """The charge so far for one dispatched request."""
 
     charged_units: float
     share: float
 
 
 def charge_early(account: ServiceAccount, request_id: str, share: float) -> float:
-    """Charge the running mean for a request that is being dispatched.
+    """Charge the running mean of past costs for a request that is being dispatched.
 
     :returns: the charge in service units.
     """
     estimate_units = account.cost.mean_units
-    charge_known(account, request_id, estimate_units, share)
+    charge_estimate(account, request_id, estimate_units, share)
     return estimate_units
 
 
-def charge_known(
+def charge_estimate(
     account: ServiceAccount, request_id: str, estimate_units: float, share: float
 ) -> None:
-    """Charge an estimate that the request itself tells."""
+    """Charge an estimate that is derived from the request itself, such as its tokens."""
     account.charges[request_id] = Charge(charged_units=estimate_units, share=share)
     _add_virtual_service(account, estimate_units / share)
 
 
 def grow_charge(account: ServiceAccount, request_id: str, observed_units: float) -> None:
-    """Raise the charge of a running request once its stream outgrows the estimate."""
+    """Raise the charge of a running request once its observed cost exceeds it."""
     charge = account.charges.get(request_id)
     if charge is None or observed_units <= charge.charged_units:
         return
@@ -88,7 +91,7 @@
 
 
 def settle_charge(account: ServiceAccount, request_id: str, cost_units: float) -> None:
-    """Replace the charge of an ended request by its true cost."""
+    """Replace the charge of a finished request by its true cost, and update the mean."""
     charge = account.charges.pop(request_id, None)
     if charge is None:
         return
@@ -97,7 +100,7 @@
 
 
 def cancel_charge(account: ServiceAccount, request_id: str) -> None:
-    """Take back the whole charge of a request that certainly was not run."""
+    """Refund the whole charge of a request that certainly was not run."""
     charge = account.charges.pop(request_id, None)
     if charge is None:
         return
--- a/packages/core/src/myrtlehook_core/request/fingerprints.py
+++ b/packages/core/src/myrtlehook_core/request/fingerprints.py
@@ -1,15 +1,15 @@
-"""What makes two requests the same one: their caller, path and body, whatever their ids."""
+"""Fingerprints of requests: equal for the same workspace, method, path and body, at any id."""
 
 import hashlib
 
 FINGERPRINT_BYTES = 16
-"""So long that two requests of a fleet's life never share one, also where callers try."""
+"""Long enough to rule out collisions over a fleet's lifetime, even deliberate ones."""
 
 
 def fingerprint_request(workspace: str, method: str, target: str, body: bytes) -> bytes:
-    """Return the fingerprint of a request; every router gives it the same one.
+    """Return the fingerprint of a request, which is the same at every router.
 
-    The workspace is part of it, so that no workspace can speak for another one's requests.
+    It includes the workspace, so that no workspace can affect another one's requests.
     """
     head = f"{len(workspace)}/{workspace}/{method}/{len(target)}/{target}/".encode()
     digest = hashlib.blake2b(head, digest_size=FINGERPRINT_BYTES)
--- a/packages/core/src/myrtlehook_core/request/outcomes.py
+++ b/packages/core/src/myrtlehook_core/request/outcomes.py
@@ -1,16 +1,16 @@
-"""The closed sets of request outcomes, refusal reasons and retry reasons."""
+"""Enumerations of request outcomes and of the reasons for refusals, retries and drops."""
 
 from enum import StrEnum
 
 
 class Outcome(StrEnum):
-    """What became of a request, as told to its caller."""
+    """Whether a request was run, as reported to its client."""
 
     COMPLETED = "completed"
     NOT_RUN = "not-run"
-    """No byte left for a backend server, or the server said that it did not start."""
+    """No byte was sent to a backend server, or the server reported that it did not start it."""
     UNKNOWN = "unknown"
-    """The request left this router and no one can tell how far it got."""
+    """The request was sent, and it is not known how far it was processed."""
 
 
 class RefusalReason(StrEnum):
@@ -29,17 +29,17 @@
     ROUTER_FULL = "router_full"
     ROUTER_BYTES_FULL = "router_bytes_full"
     ROUTER_OVERLOADED = "router_overloaded"
-    """Short of processor time; another router may be idle."""
+    """This router is short of processor time; another router may be idle."""
     RATE_LIMITED = "rate_limited"
     DEADLINE_UNREACHABLE = "deadline_unreachable"
     SHARE_EXCEEDED = "share_exceeded"
-    """Its workspace asks for more than its share, and engines take nothing more at present."""
+    """Its workspace exceeds its share, and the engines admit no more such requests for now."""
     DEADLINE_PASSED = "deadline_passed"
     NO_BACKEND_SERVER = "no_backend_server"
     BACKED_OFF = "backed_off"
-    """Each backend server that could serve it wants nothing of this router for now."""
+    """Every backend server that could serve it has asked this router to back off."""
     QUARANTINED = "quarantined"
-    """Backend servers ended again and again while they ran this very request."""
+    """Backend servers repeatedly went down while they ran this request."""
     RETRIES_EXHAUSTED = "retries_exhausted"
     DRAINING = "draining"
     NOT_CONFIGURED = "not_configured"
@@ -47,7 +47,7 @@
     UNKNOWN_ROUTE = "unknown_route"
     CALLER_GONE = "caller_gone"
     ROUTER_FAULT = "router_fault"
-    """The router met a fault of its own before it sent the request anywhere."""
+    """An internal error occurred in the router before it sent the request to a server."""
 
 
 class RetryReason(StrEnum):
@@ -57,12 +57,13 @@
     SERVER_REFUSED = "server_refused"
     SERVER_LEAVING = "server_leaving"
     SERVER_BACKED_OFF = "server_backed_off"
-    """The server turned the request away, and wants nothing of this router for a time."""
+    """The server rejected the request and asked this router to back off for a time."""
     LEASE_EXPIRED = "lease_expired"
     SERVER_REPLACED = "server_replaced"
-    """Another server has the address by now, and declined."""
+    """Another server has taken over the address and rejected the request."""
     ANSWER_BROKEN = "answer_broken"
-    """It may have run; only a repeatable request is queued again."""
+    """The response broke off or was not valid; the request may have run, so only a repeatable one
+    is queued again."""
 
 
 class DropReason(StrEnum):
@@ -76,5 +77,5 @@
     GRANT_EXPIRED = "grant_expired"
     GRANT_UNUSED = "grant_unused"
     GRANT_CLOSED = "grant_closed"
-    """The server leaves, or wants nothing of this router, and its owner did not know."""
+    """The server is leaving or has asked this router to back off; its owner did not know."""
     CUT_FOR_TEST = "cut_for_test"
--- a/packages/core/src/myrtlehook_core/request/requests.py
+++ b/packages/core/src/myrtlehook_core/request/requests.py
@@ -1,4 +1,4 @@
-"""One request as the decision core sees it."""
+"""The data of a request that the core's decisions are based on."""
 
 import math
 from dataclasses import dataclass
@@ -6,7 +6,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PromptPart:
-    """One part of a prompt; requests with the same parts at the beginning share its cache."""
+    """One part of a prompt; requests whose prompts begin with the same parts share their cache."""
 
     part_id: str
     tokens: int
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestSpecification:
-    """What the core needs to know of a request in order to place it."""
+    """The data that the core needs to place a request on a backend server."""
 
     request_id: str
     workspace: str
@@ -22,40 +22,40 @@
     body_bytes: int
     arrived_at_s: float
     deadline_s: float
-    """Router clock time after which an answer is of no use to the caller."""
+    """Router clock time after which a response is of no use to the client."""
     no_repeat: bool = False
     prefix_key: str = ""
-    """Digest of the prompt's beginning; requests that share it share a prefix cache."""
+    """Digest of the beginning of the prompt; requests with the same digest share a prefix cache."""
     repeatable: bool = False
-    """It may run a second time even though it may have run before."""
+    """It may be run again even if an earlier attempt may have run."""
     attempts: int = 0
-    """The most backend servers that it may be sent to; 0 takes the router's own bound."""
+    """The most backend servers that it may be sent to; 0 for the router's default."""
     prompt_tokens: int = 0
     output_tokens: int = 0
-    """The tokens that will be made, as far as the caller can tell; 0 when it is not known."""
+    """Expected number of output tokens, as estimated by the client; 0 if not known."""
     prompt_parts: tuple[PromptPart, ...] = ()
-    """In order; the last one belongs to this request or its session alone."""
+    """In order; only the last one is specific to this request or its session."""
     aim_deadline_s: float = math.inf
-    """Router clock time until which an answer's beginning is worth most."""
+    """Router clock time by which the response should begin, such as its first token."""
     priority: int = 1
     """0 is served first."""
     fingerprint: bytes = b""
-    """The same for each request with this caller, path and body; empty where not known."""
+    """Equal for requests with the same workspace, method, path and body; empty if not known."""
 
 
 def count_share_tokens(prompt_tokens: int, output_tokens: int) -> int:
-    """Return a request's size as shares count it: a token made counts twice."""
+    """Return a request's size as counted against shares; an output token counts twice."""
     return prompt_tokens + 2 * output_tokens
 
 
 def find_share_tokens(request: RequestSpecification) -> int:
-    """Return a request's size as shares count it, with the output that its caller expects."""
+    """Return a request's size as counted against shares, with the output its client expects."""
     return count_share_tokens(request.prompt_tokens, request.output_tokens)
 
 
 @dataclass(frozen=True, slots=True)
 class PoolKey:
-    """The account key: service is counted per workspace and pool."""
+    """Key of an account; service is accounted per workspace and pool."""
 
     workspace: str
     pool: str
--- a/packages/core/src/myrtlehook_core/version/__init__.py
+++ b/packages/core/src/myrtlehook_core/version/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for one configuration version: documents, manifests, plans."""
+"""Configuration versions: documents, validation, assembly, exchange, and server discovery."""
--- a/packages/core/src/myrtlehook_core/version/assembly.py
+++ b/packages/core/src/myrtlehook_core/version/assembly.py
@@ -1,4 +1,4 @@
-"""Joining a manifest and its parts into one configuration, or into findings."""
+"""Assembles a configuration from a manifest and its parts, or reports findings."""
 
 from collections import Counter
 from collections.abc import Iterable, Mapping
@@ -35,9 +35,9 @@
     """Build a configuration from published texts.
 
     :param part_texts: part text by digest.
-    :param parsed_parts: parts by digest that were read before; what is read now is
-        added, and what this manifest does not name is dropped. A change then costs the
-        reading of one part instead of all.
+    :param parsed_parts: a cache of parsed parts by digest. Parts that are parsed now are
+        added, and those that this manifest does not name are dropped, so that a change
+        of one part does not require parsing them all.
     :returns: the configuration, or every finding in the manifest and all parts.
     """
     parsed = parse_document(ManifestDocument, manifest_text, "manifest")
@@ -46,16 +46,16 @@
     manifest = parsed.ok_value
     findings: list[Finding] = []
     parts: dict[str, PartDocument] = {}
-    known = parsed_parts if parsed_parts is not None else {}
+    cache = parsed_parts if parsed_parts is not None else {}
     for reference in manifest.parts:
-        if reference.digest in known:
-            parts[reference.digest] = known[reference.digest]
+        if reference.digest in cache:
+            parts[reference.digest] = cache[reference.digest]
         else:
             _collect_part(reference.key, reference.digest, part_texts, parts, findings)
     if findings:
         return Err(findings)
-    known.clear()
-    known.update(parts)
+    cache.clear()
+    cache.update(parts)
     joined = join_parts(parts.values())
     findings = find_inconsistencies(joined)
     if findings:
@@ -66,35 +66,39 @@
 
 def join_parts(parts: Iterable[PartDocument]) -> PartDocument:
     """Concatenate parts into one document."""
-    held = list(parts)
+    all_parts = list(parts)
     return PartDocument(
-        workspaces=tuple(item for part in held for item in part.workspaces),
-        pools=tuple(item for part in held for item in part.pools),
-        backend_servers=tuple(item for part in held for item in part.backend_servers),
+        workspaces=tuple(item for part in all_parts for item in part.workspaces),
+        pools=tuple(item for part in all_parts for item in part.pools),
+        backend_servers=tuple(item for part in all_parts for item in part.backend_servers),
     )
 
 
 def find_inconsistencies(part: PartDocument) -> list[Finding]:
-    """Return every fault that no single field shows: repeats and dangling names."""
+    """Return faults that span fields: duplicate names and references to unknown pools."""
     findings: list[Finding] = []
-    findings += _find_repeats("workspaces", [item.name for item in part.workspaces])
-    findings += _find_repeats("pools", [item.name for item in part.pools])
-    findings += _find_repeats("backend_servers", [item.name for item in part.backend_servers])
-    findings += _find_repeats("models", [name for pool in part.pools for name in pool.models])
+    findings += _find_duplicates("workspaces", [item.name for item in part.workspaces])
+    findings += _find_duplicates("pools", [item.name for item in part.pools])
+    findings += _find_duplicates("backend_servers", [item.name for item in part.backend_servers])
+    findings += _find_duplicates("models", [name for pool in part.pools for name in pool.models])
     digests = [digest for item in part.workspaces for digest in item.key_digests]
-    findings += _find_repeats("workspaces.key_digests", digests)
+    findings += _find_duplicates("workspaces.key_digests", digests)
     pools = {pool.name for pool in part.pools}
     for workspace in part.workspaces:
         place = f"workspaces.{workspace.name}.pools"
-        findings += [_unknown_pool(place, name) for name in workspace.pools if name not in pools]
+        findings += [
+            _make_unknown_pool_finding(place, name) for name in workspace.pools if name not in pools
+        ]
     for server in part.backend_servers:
         if server.pool not in pools:
-            findings.append(_unknown_pool(f"backend_servers.{server.name}.pool", server.pool))
+            findings.append(
+                _make_unknown_pool_finding(f"backend_servers.{server.name}.pool", server.pool)
+            )
     return findings
 
 
 def build_configuration(version: ConfigurationVersion, part: PartDocument) -> Configuration:
-    """Turn validated documents into the data classes that the router works with."""
+    """Convert a validated document into the data classes that the router uses."""
     return Configuration(
         version=version,
         workspaces={item.name: _build_workspace(item) for item in part.workspaces},
@@ -139,15 +143,15 @@
     parts[digest] = parsed.ok_value
 
 
-def _find_repeats(place: str, names: list[str]) -> list[Finding]:
-    repeated = [name for name, count in Counter(names).items() if count > 1]
+def _find_duplicates(place: str, names: list[str]) -> list[Finding]:
+    duplicates = [name for name, count in Counter(names).items() if count > 1]
     return [
         Finding(place, f"{name!r} more than once", "each name once", "remove the repeats")
-        for name in repeated
+        for name in duplicates
     ]
 
 
-def _unknown_pool(place: str, name: str) -> Finding:
+def _make_unknown_pool_finding(place: str, name: str) -> Finding:
     return Finding(place, repr(name), "the name of a declared pool", "declare it or correct it")
 
 
--- a/packages/core/src/myrtlehook_core/version/configurations.py
+++ b/packages/core/src/myrtlehook_core/version/configurations.py
@@ -9,7 +9,7 @@
 
 
 class PoolKind(StrEnum):
-    """What the backend servers of a pool speak."""
+    """Whether the backend servers of a pool are model engines or plain services."""
 
     MODEL = "model"
     SERVICE = "service"
@@ -18,7 +18,7 @@
 @total_ordering
 @dataclass(frozen=True, slots=True)
 class ConfigurationVersion:
-    """Names one configuration; routers only ever move to a greater one."""
+    """Identifies a configuration; routers only ever move to a greater version."""
 
     number: int
     digest: str
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Workspace:
-    """A customer: its share, its keys' digests, the pools it may reach, its limits."""
+    """A customer: its share, the digests of its API keys, the pools it may use, its limits."""
 
     name: str
     share: float
@@ -41,38 +41,38 @@
     pools: frozenset[str]
     limits: QueueLimits
     priority: int | None = None
-    """Rank of its requests, 0 the highest; None leaves that to their routes."""
+    """Priority of its requests, 0 the highest; None to use that of the route."""
 
 
 @dataclass(frozen=True, slots=True)
 class EngineCapacity:
-    """What one model engine of a pool can hold and do."""
+    """Capacity and streaming granularity of each model engine in a pool."""
 
     memory_tokens: int
-    """Tokens of running requests and cached prompt parts together."""
+    """Capacity for the tokens of running requests and cached prompt parts together."""
     event_tokens: int = 1
-    """Tokens in one event of a stream."""
+    """Tokens in one event of a response stream."""
 
 
 @dataclass(frozen=True, slots=True)
 class ColdStart:
-    """What the servers of a pool take after a start, before they are warm."""
+    """The reduced capacity of a pool's servers after a start, until they are warm."""
 
-    lasts_s: float
+    duration_s: float
     requests_per_s: float
-    """That one of them works off meanwhile."""
+    """Rate that one server can handle during that time."""
 
 
 @dataclass(frozen=True, slots=True)
 class EntryLimits:
-    """What callers may send, and how long they may take."""
+    """Limits on the size and the timing of client requests, and the capacity of the fleet."""
 
     header_bytes: int = 16 * 1024
     body_bytes: int = 8 * 1024 * 1024
     header_timeout_s: float = 10.0
     idle_timeout_s: float = 60.0
     tokens_per_s: float = 0.0
-    """What all engines together produce; 0 when it is not known."""
+    """Token rate of all engines together; 0 if not known."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -85,14 +85,14 @@
     input_token_weight: float
     output_token_weight: float
     no_repeat: bool
-    """Every call to this plain service runs at most once, whatever the caller says."""
+    """Every call to this plain service runs at most once, even if the client allows repeats."""
     default_timeout_s: float
-    engine: EngineCapacity | None = None
-    """Known for model engines whose requests are placed by tokens instead of slots."""
+    engine_capacity: EngineCapacity | None = None
+    """Set for model engines that admit requests by tokens instead of slots."""
     connections: int = 512
-    """The most connections that one backend server takes, from all routers together."""
+    """The most connections that one backend server accepts from all routers together."""
     cold_start: ColdStart | None = None
-    """None for servers that take as much as ever right after a start."""
+    """None for servers that have their full capacity right after a start."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -106,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendServer:
-    """One engine or plain server: where it is and how many requests it runs at once."""
+    """One engine or plain server: its address, its pool and its number of slots."""
 
     name: str
     pool: str
@@ -117,15 +117,15 @@
     leaving: bool
     order: ServerOrder | None = None
     instance: str = ""
-    """Names this start of the server; sent along so that another server at its
-    address declines the request."""
+    """Identifier of the server that its restarts share, unlike ``name``. It is sent with each
+    request, so that another server that has taken over the address rejects the request."""
     cold_ms: int = 0
-    """How much longer it was to stay cold, as it said last; see ``process/cold_engines``."""
+    """Remaining cold time as the server reported it; see ``process/cold_engines``."""
 
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """One whole configuration, indexed for look-up."""
+    """A complete configuration, indexed for look-up."""
 
     version: ConfigurationVersion
     workspaces: dict[str, Workspace] = field(default_factory=dict)
@@ -140,7 +140,7 @@
     routes: RouteTable = RouteTable()
     limits: EntryLimits = EntryLimits()
     servers_revision: int = 0
-    """Moves when discovery changes the backend servers within one version."""
+    """Changes when discovery changes the backend servers within one version."""
 
 
 EMPTY_CONFIGURATION = Configuration(version=NO_VERSION)
--- a/packages/core/src/myrtlehook_core/version/discovery.py
+++ b/packages/core/src/myrtlehook_core/version/discovery.py
@@ -1,13 +1,16 @@
-"""Backend servers found by discovery, beside a configuration that does not list them.
-
-A server that has once said it is leaving never comes back under the same name. After an
-outage of the source, entries that lapsed meanwhile get a moment to return before they
-count as gone. Lists come from the source or, as changes, from peers; each has the
-source's order, and an older one never replaces a newer one.
-
-A source that comes back from a copy has forgotten what it knew since. Servers that its copy
-lacks write again in a moment, as after an outage. Servers that its copy has, and that were gone
-by then, get nothing until the moment is over in which the entry of one that is gone goes again.
+"""Discovery of backend servers, for configurations that do not list them.
+
+The router learns of the servers from the source's full lists and from the changes that
+peers send. Each of them carries the source order (era and revision) that it stands for,
+and an older one never replaces a newer one. A server that has announced that it is
+leaving stays marked as leaving for as long as it is known by that name. Entries that
+lapsed (expired) during an outage of the source get a grace period to return before their
+servers count as removed.
+
+A source that is restored from a backup has lost all changes since the backup. Servers
+that are missing from the backup register again shortly, so they get the same grace period
+as after an outage. Servers that the backup lists although they had been removed get no
+requests for a hold-off period, within which the entry of a dead server expires again.
 """
 
 from collections.abc import Collection, Iterable
@@ -17,58 +20,62 @@
 from myrtlehook_core.version.source_orders import NO_ORDER, SourceOrder
 
 RETURN_GRACE_S = 2.0
-"""How long an entry that lapsed during an outage may take to come back."""
+"""How long an entry that expired during an outage may take to return."""
 
-DOUBTED_S = 6.0
-"""How long a server that was gone gets nothing once a copy has brought it back. The entry of one
-that is gone goes after three heartbeats, of 1.2 s each on the users' platform; the rest is for
-their writes and for the news of it."""
+RESTORED_HOLDOFF_S = 6.0
+"""How long a removed server gets no requests after a restored backup lists it again. The entry
+of a dead server expires after three heartbeats of 1.2 s each on the users' platform; the rest
+allows for their writes and for the change to reach the routers."""
 
-REMEMBERED_REMOVALS = 1000
-"""Servers that are gone are told to peers by name; those further back by a whole list."""
+MAX_REMEMBERED_REMOVALS = 1000
+"""How many removed servers are remembered, so that peers can be sent their names. A peer whose
+state is older than the oldest of them is sent the full list instead."""
 
 
 @dataclass(slots=True)
 class Discovery:
-    """What is known of the backend servers, by name."""
+    """The known backend servers by name, and what is needed to update them."""
 
     known: dict[str, BackendServer] = field(default_factory=dict)
     leaving: set[str] = field(default_factory=set)
+    """Servers that have announced that they are leaving."""
     lapsed_deadlines_s: dict[str, float] = field(default_factory=dict)
-    """When a server whose entry was missing after an outage counts as gone."""
+    """When a server whose entry was missing after an outage counts as removed."""
     revision: int = 0
-    """Moves whenever ``known`` or what is doubted of it does; this process's own."""
+    """Incremented when ``known``, ``evacuated_zones`` or the hold-offs change; local to this
+    process, unlike ``source_order``."""
     source_order: SourceOrder = NO_ORDER
-    """The source's order that ``known`` stands for."""
+    """The source order that ``known`` stands for."""
     changed_orders: dict[str, SourceOrder] = field(default_factory=dict)
-    """By server, the source's order at which it changed last."""
+    """By server, the source order at which it changed last."""
     removed_orders: dict[str, SourceOrder] = field(default_factory=dict)
-    """The same for servers that are gone, the oldest first."""
+    """By removed server, the source order at which it was removed, the oldest first."""
     complete_since_order: SourceOrder = NO_ORDER
-    """Changes are remembered from this order of the source on."""
-    doubted_deadlines_s: dict[str, float] = field(default_factory=dict)
-    """Until when a server gets nothing that was gone and came back with a copy."""
+    """Changes after this source order are remembered completely; older ones may not be."""
+    holdoff_deadlines_s: dict[str, float] = field(default_factory=dict)
+    """Until when a removed server that a restored backup lists again gets no requests."""
     evacuated_zones: frozenset[str] = frozenset()
-    """Availability zones whose servers get nothing until the operator takes them back."""
+    """Availability zones whose servers get no requests until the operator ends the evacuation."""
     active: bool = False
     """False while the configuration itself lists the backend servers."""
 
 
 @dataclass(frozen=True, slots=True)
 class ServerChanges:
-    """What changed among the backend servers after some order of the source."""
+    """The changes of the backend servers since a source order."""
 
     order: SourceOrder
     whole: bool
-    """``servers`` are all of them; others are gone."""
+    """``servers`` is the full list; servers that it lacks are removed."""
     servers: tuple[BackendServer, ...]
     lapsed: frozenset[str]
+    """Those of ``servers`` whose entry was missing after an outage and may still return."""
     gone: tuple[str, ...]
     evacuated_zones: frozenset[str] = frozenset()
-    """All of them."""
+    """All evacuated zones, not only changes."""
 
 
-def take_servers(
+def apply_server_list(
     discovery: Discovery,
     servers: Iterable[BackendServer],
     after_outage: bool,
@@ -76,16 +83,16 @@
     order: SourceOrder = NO_ORDER,
     evacuated_zones: frozenset[str] = frozenset(),
 ) -> bool:
-    """Take the source's whole list at an order; True when anything changed."""
+    """Apply the source's full list as of ``order``; return whether anything changed."""
     if order < discovery.source_order:
         return False
-    listed = {server.name: _keep_known(discovery, server) for server in servers}
-    after_outage = _note_era(discovery, order, listed.keys(), now_s) or after_outage
+    listed = {server.name: _merge_known_state(discovery, server) for server in servers}
+    after_outage = _handle_new_era(discovery, order, listed.keys(), now_s) or after_outage
     missing = discovery.known.keys() - listed.keys()
     lapsed_before = set(discovery.lapsed_deadlines_s)
-    starts = _list_starts(listed)
+    instances = _collect_instances(listed)
     for name in missing:
-        if discovery.known[name].instance in starts:
+        if discovery.known[name].instance in instances:
             discovery.lapsed_deadlines_s.pop(name, None)
             continue
         if after_outage:
@@ -96,14 +103,15 @@
         discovery.lapsed_deadlines_s.pop(name, None)
     if not discovery.active:
         discovery.complete_since_order = order
-    _note_orders(discovery, listed, lapsed_before, order)
+    _record_orders(discovery, listed, lapsed_before, order)
     return _replace_known(discovery, listed, evacuated_zones)
 
 
-def collect_changes(discovery: Discovery, after: SourceOrder) -> ServerChanges:
-    """Return what a peer lacks that knows the servers as of an order.
+def collect_server_changes(discovery: Discovery, after: SourceOrder) -> ServerChanges:
+    """Return the changes that a peer lacks whose state is as of ``after``.
 
-    What it knows of another era may be of a revision that this router never heard of.
+    A peer whose state is of another era gets the full list, because it may know revisions
+    that this router never received.
     """
     is_other_era = after.era != discovery.source_order.era
     whole = is_other_era or after < discovery.complete_since_order or after == NO_ORDER
@@ -120,28 +128,28 @@
     )
 
 
-def take_changes(
+def apply_server_changes(
     discovery: Discovery, changes: ServerChanges, after_outage: bool, now_s: float
 ) -> bool:
-    """Take what a peer knows that this router lacks; True when anything changed.
+    """Apply changes that a peer has sent; return whether anything changed.
 
-    :param after_outage: whether servers that a whole list lacks may still come back.
+    :param after_outage: whether servers that a full list lacks may still return.
     """
     if changes.order <= discovery.source_order:
         return False
-    told = {server.name: _keep_known(discovery, server) for server in changes.servers}
-    after_outage = _note_era(discovery, changes.order, told.keys(), now_s) or after_outage
-    listed = told if changes.whole else discovery.known | told
+    received = {server.name: _merge_known_state(discovery, server) for server in changes.servers}
+    after_outage = _handle_new_era(discovery, changes.order, received.keys(), now_s) or after_outage
+    listed = received if changes.whole else discovery.known | received
     listed = {name: server for name, server in listed.items() if name not in changes.gone}
     deadlines_s = discovery.lapsed_deadlines_s
     lapsed_before = set(deadlines_s)
-    for name in told.keys() - changes.lapsed:
+    for name in received.keys() - changes.lapsed:
         deadlines_s.pop(name, None)
     lapsed = set(changes.lapsed)
     if after_outage:
-        starts = _list_starts(told)
+        instances = _collect_instances(received)
         missing = discovery.known.keys() - listed.keys() - set(changes.gone)
-        lapsed |= {name for name in missing if discovery.known[name].instance not in starts}
+        lapsed |= {name for name in missing if discovery.known[name].instance not in instances}
     for name in lapsed:
         deadlines_s.setdefault(name, now_s + RETURN_GRACE_S)
         if name not in listed:
@@ -150,76 +158,85 @@
         del deadlines_s[name]
     if not discovery.active:
         discovery.complete_since_order = changes.order
-    _note_orders(discovery, listed, lapsed_before, changes.order)
+    _record_orders(discovery, listed, lapsed_before, changes.order)
     return _replace_known(discovery, listed, changes.evacuated_zones)
 
 
-def expire_lapsed(discovery: Discovery, now_s: float) -> bool:
-    """Drop the servers whose entries did not return in time, and end doubts; True for any."""
-    trusted = [name for name, end_s in discovery.doubted_deadlines_s.items() if now_s >= end_s]
-    for name in trusted:
-        del discovery.doubted_deadlines_s[name]
-    discovery.revision += bool(trusted)
-    return _drop_lapsed(discovery, now_s) or bool(trusted)
+def expire_deadlines(discovery: Discovery, now_s: float) -> bool:
+    """Drop servers that did not return in time, and end hold-offs; return whether any was due."""
+    ended = [name for name, end_s in discovery.holdoff_deadlines_s.items() if now_s >= end_s]
+    for name in ended:
+        del discovery.holdoff_deadlines_s[name]
+    discovery.revision += bool(ended)
+    return _drop_lapsed(discovery, now_s) or bool(ended)
 
 
 def _drop_lapsed(discovery: Discovery, now_s: float) -> bool:
-    late = [name for name, end_s in discovery.lapsed_deadlines_s.items() if now_s >= end_s]
-    if not late:
+    expired = [name for name, end_s in discovery.lapsed_deadlines_s.items() if now_s >= end_s]
+    if not expired:
         return False
     lapsed_before = set(discovery.lapsed_deadlines_s)
-    for name in late:
+    for name in expired:
         del discovery.lapsed_deadlines_s[name]
-    kept = {name: server for name, server in discovery.known.items() if name not in late}
-    _note_orders(discovery, kept, lapsed_before, discovery.source_order)
+    kept = {name: server for name, server in discovery.known.items() if name not in expired}
+    _record_orders(discovery, kept, lapsed_before, discovery.source_order)
     return _replace_known(discovery, kept, discovery.evacuated_zones)
 
 
 def apply_discovery(configuration: Configuration, discovery: Discovery) -> Configuration:
-    """Return the configuration with the servers that discovery knows."""
+    """Return the configuration with the discovered servers.
+
+    Servers that must get no requests, because of a hold-off or an evacuation, are marked as
+    leaving.
+    """
     if not discovery.active:
         return configuration
-    closed = {
+    withheld = {
         name: replace(server, leaving=True)
         for name, server in discovery.known.items()
-        if name in discovery.doubted_deadlines_s
+        if name in discovery.holdoff_deadlines_s
         or server.availability_zone in discovery.evacuated_zones
     }
     return replace(
         configuration,
-        backend_servers=discovery.known | closed if closed else discovery.known,
+        backend_servers=discovery.known | withheld if withheld else discovery.known,
         served_pools=frozenset(server.pool for server in discovery.known.values()),
         servers_revision=discovery.revision,
     )
 
 
-def _note_era(
+def _handle_new_era(
     discovery: Discovery, order: SourceOrder, listed: Collection[str], now_s: float
 ) -> bool:
-    """Note that the source has come back from a copy; False while its era is the same.
+    """Start hold-offs if the source was restored from a backup; return whether it was.
 
-    A router that starts knows nothing that a copy could have forgotten.
+    A restore is recognized by a new era. A router that has just started ignores it, because
+    it knows nothing yet that the backup could lack.
 
-    :param listed: the servers that the first list of the era names; later ones are not of
-        the copy.
+    :param listed: the servers in the first list of the era. Servers that appear only in
+        later lists get no hold-off, because they were not in the backup.
     """
     if not discovery.active or order.era == discovery.source_order.era:
         return False
     for name in discovery.removed_orders.keys() & set(listed):
-        discovery.doubted_deadlines_s[name] = now_s + DOUBTED_S
+        discovery.holdoff_deadlines_s[name] = now_s + RESTORED_HOLDOFF_S
     discovery.complete_since_order = order
     return True
 
 
-def _list_starts(servers: dict[str, BackendServer]) -> set[str]:
-    """Return whose starts are listed: an earlier one of these does not come back."""
+def _collect_instances(servers: dict[str, BackendServer]) -> set[str]:
+    """Return the identifiers of the listed servers.
+
+    A missing entry with one of them belongs to an earlier start and will not return.
+    """
     return {server.instance for server in servers.values() if server.instance}
 
 
-def _keep_known(discovery: Discovery, server: BackendServer) -> BackendServer:
-    """Return a listed server with what is known of it that the list takes back.
+def _merge_known_state(discovery: Discovery, server: BackendServer) -> BackendServer:
+    """Return a listed server, with known state that the list must not revert.
 
-    A lower figure of how long it stays cold is no news: the deadline of the first one stands.
+    A lower remaining cold time is not applied: it only counts down to the deadline that
+    follows from the first one. A server that was leaving stays so.
     """
     known = discovery.known.get(server.name)
     if known is not None and known.cold_ms > server.cold_ms > 0:
@@ -231,23 +248,23 @@
     return server
 
 
-def _note_orders(
+def _record_orders(
     discovery: Discovery,
     servers: dict[str, BackendServer],
     lapsed_before: set[str],
     order: SourceOrder,
 ) -> None:
-    """Remember at which order of the source each server changed or went."""
+    """Record the source order at which each server changed or was removed."""
     discovery.source_order = order
-    relapsed = lapsed_before ^ discovery.lapsed_deadlines_s.keys()
+    lapse_changed = lapsed_before ^ discovery.lapsed_deadlines_s.keys()
     for name, server in servers.items():
-        if discovery.known.get(name) != server or name in relapsed:
+        if discovery.known.get(name) != server or name in lapse_changed:
             discovery.changed_orders[name] = order
             discovery.removed_orders.pop(name, None)
     for name in discovery.known.keys() - servers.keys():
         discovery.changed_orders.pop(name, None)
         discovery.removed_orders[name] = order
-    while len(discovery.removed_orders) > REMEMBERED_REMOVALS:
+    while len(discovery.removed_orders) > MAX_REMEMBERED_REMOVALS:
         oldest = next(iter(discovery.removed_orders))
         discovery.complete_since_order = discovery.removed_orders.pop(oldest)
 
--- a/packages/core/src/myrtlehook_core/version/documents.py
+++ b/packages/core/src/myrtlehook_core/version/documents.py
@@ -1,4 +1,4 @@
-"""The published documents: validated models of the manifest and its parts."""
+"""Models of the published documents: the manifest, its parts and the list of VMs."""
 
 from typing import Annotated
 
@@ -13,33 +13,33 @@
 Name = Annotated[str, Field(pattern=NAME_PATTERN)]
 Digest = Annotated[str, Field(pattern=DIGEST_PATTERN)]
 Address = Annotated[str, Field(pattern=ADDRESS_PATTERN)]
-"""An IP number and a port; names are never looked up."""
+"""An IPv4 address and a port; host names are not resolved."""
 
 
 class Document(BaseModel):
-    """Base of all documents: unknown fields are findings, not surprises."""
+    """Base of all documents; rejects unknown fields, so that each becomes a finding."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
 class PartReference(Document):
-    """Where the manifest says a part is, and what its bytes must hash to."""
+    """Key of a part in the store, and the digest that its text must have."""
 
     key: str
     digest: Digest
 
 
 class ManifestDocument(Document):
-    """Names the parts of one configuration version."""
+    """Lists the parts of one configuration version."""
 
     version: int = Field(ge=1)
     parts: tuple[PartReference, ...]
     base_digest: str = ""
-    """Digest of the manifest that this version was planned from."""
+    """Digest of the manifest that this version was derived from."""
 
 
 class LimitsDocument(Document):
-    """The queue bounds of a workspace at each router."""
+    """Queue and rate limits of a workspace at each router."""
 
     queued_requests: int = Field(default=1000, ge=1)
     queued_bytes: int = Field(default=64 * 1024 * 1024, ge=1024)
@@ -91,7 +91,7 @@
 
 
 class PartDocument(Document):
-    """One part of a configuration; parts are joined and must not repeat a name."""
+    """One part of a configuration; parts are joined, so a name must be unique across them."""
 
     workspaces: tuple[WorkspaceDocument, ...] = ()
     pools: tuple[PoolDocument, ...] = ()
@@ -99,7 +99,7 @@
 
 
 class VmDocument(Document):
-    """One VM of the platform's list."""
+    """One VM in the platform's list."""
 
     vm: Name
     address: Address
@@ -108,6 +108,6 @@
 
 
 class VmListDocument(Document):
-    """The platform's lagging list of router VMs."""
+    """The platform's list of router VMs, which may lag behind."""
 
     vms: tuple[VmDocument, ...]
--- a/packages/core/src/myrtlehook_core/version/exchange.py
+++ b/packages/core/src/myrtlehook_core/version/exchange.py
@@ -1,8 +1,8 @@
-"""How a router comes to know the configuration in force, and never goes back.
+"""Collects new configurations from the platform and from peers.
 
-Documents come from the platform or from peers and are named by their digest, so
-it does not matter who gave them. The router keeps the texts of the version in
-force in order to give them to peers.
+A router only ever moves to a greater version. Documents are identified by their
+digest, so it does not matter who sent them. The router keeps the texts of the
+version in force in order to send them to peers.
 """
 
 from collections.abc import Callable
@@ -23,21 +23,23 @@
     from myrtlehook_core.version.documents import PartDocument, PartReference
 
 ConfigurationParser = Callable[[str], Result[Configuration, list[Finding]]]
-"""Reads a configuration that is published whole; its version's digest is left empty."""
+"""Parses a configuration published as one text; leaves the digest of its version empty."""
 
-QUERY_DIGESTS = 16
-"""Most documents asked of a peer at once."""
+MAX_QUERY_DIGESTS = 16
+"""The most documents that one query asks a peer for."""
 
 
 @dataclass(slots=True)
 class Offer:
-    """A newer configuration that is being collected."""
+    """A newer configuration whose documents are being collected."""
 
     version: ConfigurationVersion
     source: str
+    """Who is asked for the documents: the platform, or the peer that advertised it last."""
     manifest_text: str = ""
     parts: "tuple[PartReference, ...]" = ()
     texts: dict[str, str] = field(default_factory=dict)
+    """Text by digest, of the parts that have arrived."""
     next_query_s: float = 0.0
 
 
@@ -50,11 +52,12 @@
     """Text by digest, of the manifest and parts in force."""
     parsed_parts: "dict[str, PartDocument]" = field(default_factory=dict)
     source: str = "none"
+    """Who sent the configuration in force."""
     offer: Offer | None = None
     rejected: set[str] = field(default_factory=set)
-    """Digests of manifests, or of whole configurations, that were kept out."""
+    """Digests of the manifests, or of the whole configurations, that were rejected."""
     parser: ConfigurationParser | None = None
-    """Set where configurations are published whole, without a manifest and parts."""
+    """Set where a configuration is published as one text, without a manifest and parts."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -67,16 +70,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """A published configuration was kept out."""
+    """A published configuration was rejected."""
 
     number: int
     findings: tuple[Finding, ...]
 
 
-def hear_version(
+def record_advertised_version(
     exchange: ConfigurationExchange, version: ConfigurationVersion, source: str
 ) -> bool:
-    """Start to collect a newer version that a peer knows; True when it is newer."""
+    """Start or continue to collect a version that a peer advertises; False if not wanted."""
     if not _is_wanted(exchange, version):
         return False
     if exchange.offer is None or exchange.offer.version != version:
@@ -86,10 +89,10 @@
     return True
 
 
-def take_manifest(
+def handle_manifest(
     exchange: ConfigurationExchange, text: str, source: str
 ) -> Accepted | Rejected | None:
-    """Take a manifest, from the platform or a peer."""
+    """Handle a manifest from the platform or a peer."""
     from myrtlehook_core.version.documents import ManifestDocument
     from myrtlehook_core.version.validation import parse_document
 
@@ -116,17 +119,17 @@
     return _try_to_accept(exchange, offer)
 
 
-def take_document(
+def handle_document(
     exchange: ConfigurationExchange, text: str, source: str
 ) -> Accepted | Rejected | None:
-    """Take a document that was asked for, whichever it is."""
+    """Handle a requested document: a whole configuration, a manifest or a part."""
     if exchange.parser is not None:
-        return take_whole(exchange, exchange.parser, text, source)
+        return handle_whole_configuration(exchange, exchange.parser, text, source)
     offer = exchange.offer
     if offer is None:
         return None
     if digest_manifest(text) == offer.version.digest:
-        return take_manifest(exchange, text, source)
+        return handle_manifest(exchange, text, source)
     digest = digest_text(text)
     if digest not in {part.digest for part in offer.parts}:
         return None
@@ -134,10 +137,10 @@
     return _try_to_accept(exchange, offer)
 
 
-def take_whole(
+def handle_whole_configuration(
     exchange: ConfigurationExchange, parser: ConfigurationParser, text: str, source: str
 ) -> Accepted | Rejected | None:
-    """Take a configuration that is published whole, from its source or a peer."""
+    """Handle a configuration published as one text, from the platform or a peer."""
     digest = digest_manifest(text)
     if digest in exchange.texts or digest in exchange.rejected:
         return None
@@ -157,7 +160,7 @@
 
 
 def missing_parts(exchange: ConfigurationExchange) -> "list[PartReference]":
-    """Return the parts of the offer that have not come yet."""
+    """Return the parts of the offer that have not arrived yet."""
     offer = exchange.offer
     if offer is None:
         return []
@@ -165,13 +168,13 @@
 
 
 def missing_digests(exchange: ConfigurationExchange) -> tuple[str, ...]:
-    """Return the digests to ask a peer for."""
+    """Return the digests of the documents to request from a peer."""
     offer = exchange.offer
     if offer is None:
         return ()
     if not offer.manifest_text:
         return (offer.version.digest,)
-    return tuple(part.digest for part in missing_parts(exchange))[:QUERY_DIGESTS]
+    return tuple(part.digest for part in missing_parts(exchange))[:MAX_QUERY_DIGESTS]
 
 
 def _is_wanted(exchange: ConfigurationExchange, version: ConfigurationVersion) -> bool:
--- a/packages/core/src/myrtlehook_core/version/findings.py
+++ b/packages/core/src/myrtlehook_core/version/findings.py
@@ -1,10 +1,10 @@
-"""Findings: what is wrong in an operator's document, and where."""
+"""Findings: the faults in an operator's document, with their places."""
 
 from dataclasses import dataclass
 from typing import Any
 
-SEEN_LIMIT = 80
-"""Longest excerpt of a wrong value that a finding repeats, in characters."""
+MAX_EXCERPT_CHARACTERS = 80
+"""Longest excerpt of a wrong value that a finding quotes, in characters."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -12,7 +12,7 @@
     """One fault in a document, with its place and what to do about it."""
 
     place: str
-    """Where it is, such as ``settings.json: callers.port``."""
+    """Document and field, such as ``settings.json: callers.port``."""
     seen: str
     expected: str
     advice: str
@@ -22,6 +22,6 @@
 
 
 def make_excerpt(value: Any) -> str:
-    """Return a wrong value as a finding repeats it."""
+    """Return the text of a wrong value for a finding, shortened if it is long."""
     text = repr(value)
-    return text if len(text) <= SEEN_LIMIT else text[:SEEN_LIMIT] + "..."
+    return text if len(text) <= MAX_EXCERPT_CHARACTERS else text[:MAX_EXCERPT_CHARACTERS] + "..."
--- a/packages/core/src/myrtlehook_core/version/routes.py
+++ b/packages/core/src/myrtlehook_core/version/routes.py
@@ -1,4 +1,4 @@
-"""Routes: which pool serves a request, by host and path, and what is promised on the way."""
+"""Routes: the pool that serves a request, by host and path, and its retry and time limits."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -8,7 +8,7 @@
 
 
 class RequestKind(StrEnum):
-    """What may be done with a request whose outcome is not known."""
+    """Whether a request may be repeated or its stream resumed when its outcome is unknown."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolWeight:
-    """One pool's part of a split route."""
+    """A pool and its weight in a route whose traffic is split."""
 
     pool: str
     weight: float
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Where the requests of one host and path prefix go."""
+    """How requests for one host and path prefix are served."""
 
     name: str
     host: str
@@ -34,16 +34,19 @@
     kind: RequestKind
     pools: tuple[PoolWeight, ...]
     timeout_s: float
-    """The longest that a request may be held, from its arrival."""
+    """The longest time that a request may take, counted from its arrival."""
     aim_s: float
-    """An answer within this time is worth most; for a stream, its first event."""
+    """Target for the time to the response; for a stream, to its first event."""
     priority: int
     """0 is served first."""
     attempts: int
     """The most backend servers that one request may be sent to."""
     anonymous: bool = False
+    """Requests need no API key."""
     resumable: bool = False
-    pause_aim_s: float = 0.0
+    """A broken stream may be resumed from its last event."""
+    inter_token_target_s: float = 0.0
+    """Target for the time between two tokens of a stream; it is read but not acted on."""
 
     @property
     def repeatable(self) -> bool:
@@ -61,7 +64,7 @@
 
 
 def build_route_table(routes: Iterable[Route]) -> RouteTable:
-    """Index routes for :func:`find_route`."""
+    """Index routes by host for :func:`find_route`."""
     by_host: dict[str, list[Route]] = {}
     for route in routes:
         by_host.setdefault(route.host.lower(), []).append(route)
@@ -74,7 +77,7 @@
 
 
 def find_route(table: RouteTable, host: str, path: str) -> Route | None:
-    """Return the route of a host with the longest prefix that begins the path."""
+    """Return the host's route with the longest prefix that matches the path."""
     for route in table.routes_by_host.get(host.lower(), ()):
         if path.startswith(route.path_prefix):
             return route
@@ -82,13 +85,13 @@
 
 
 def choose_pool(route: Route, key: str) -> str:
-    """Return the pool for a request; the same key always finds the same pool."""
+    """Choose a pool by weight; the same key always gives the same pool."""
     if len(route.pools) == 1:
         return route.pools[0].pool
     total = sum(target.weight for target in route.pools)
-    mark = xxhash.xxh3_64_intdigest(key.encode()) / 2.0**64 * total
+    point = xxhash.xxh3_64_intdigest(key.encode()) / 2.0**64 * total
     for target in route.pools:
-        mark -= target.weight
-        if mark < 0:
+        point -= target.weight
+        if point < 0:
             return target.pool
     return route.pools[-1].pool
--- a/packages/core/src/myrtlehook_core/version/source_orders.py
+++ b/packages/core/src/myrtlehook_core/version/source_orders.py
@@ -1,20 +1,20 @@
-"""The order of the source's news."""
+"""The order of updates from the source."""
 
 import msgspec
 
 
 class SourceOrder(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """Which of two pieces of news of the source is the later one.
+    """Position of an update from the source; the greater one is the later.
 
-    A source that comes back from a copy counts its revisions on from there, and gives some out
-    again: its era rises by one then, and any revision of a later era is news to all that is
-    known of an earlier one.
+    A source that is restored from a backup continues with the backup's revision, and so
+    issues some revisions a second time. It then increments its era, and any revision of a
+    later era supersedes all revisions of an earlier one.
     """
 
     era: int = 0
-    """0 where the source does not tell it."""
+    """0 if the source does not report it."""
     revision: int = 0
 
 
 NO_ORDER = SourceOrder()
-"""Nothing is known of the source."""
+"""The order of a router that has learned nothing from the source yet."""
--- a/packages/core/src/myrtlehook_core/version/validation.py
+++ b/packages/core/src/myrtlehook_core/version/validation.py
@@ -1,4 +1,4 @@
-"""Reads an operator's documents into validated models, with every finding at once."""
+"""Parses an operator's documents into validated models, with all findings at once."""
 
 import json
 from typing import Any, TypeVar
@@ -13,15 +13,15 @@
 
 
 def parse_document(model: type[Model], text: str, source: str) -> Result[Model, list[Finding]]:
-    """Read JSON with comments into a validated model.
+    """Parse JSON with comments into a validated model.
 
-    :param source: the name that findings give as their place, usually a file name.
+    :param source: name of the document in the findings, usually a file name.
     :returns: the model, or every finding at once.
     """
     try:
         content = jsonc.loads(text)
     except (json.JSONDecodeError, RecursionError) as error:
-        return Err([_syntax_finding(error, source)])
+        return Err([_make_syntax_finding(error, source)])
     return validate_content(model, content, source)
 
 
@@ -30,10 +30,10 @@
     try:
         return Ok(model.model_validate(content))
     except ValidationError as error:
-        return Err([_field_finding(detail, source) for detail in error.errors()])
+        return Err([_make_field_finding(detail, source) for detail in error.errors()])
 
 
-def _syntax_finding(error: Exception, source: str) -> Finding:
+def _make_syntax_finding(error: Exception, source: str) -> Finding:
     line = getattr(error, "lineno", 0)
     column = getattr(error, "colno", 0)
     return Finding(
@@ -44,7 +44,7 @@
     )
 
 
-def _field_finding(detail: Any, source: str) -> Finding:
+def _make_field_finding(detail: Any, source: str) -> Finding:
     path = ".".join(str(step) for step in detail["loc"]) or "the whole document"
     missing = detail["type"] == "missing"
     return Finding(
--- a/packages/router/src/myrtlehook_router/request/gateways.py
+++ b/packages/router/src/myrtlehook_router/request/gateways.py
@@ -131,7 +131,7 @@
     specification = specify(services, request, body)
     pool = services.requests.configuration().pools.get(specification.pool)
     # Streams are what costs processor time.
-    costly = pool is not None and pool.engine is not None
+    costly = pool is not None and pool.engine_capacity is not None
     intake = (
         count_arrival(services.requests.shares, specification, clocks.now_s()) if costly else None
     )
@@ -149,8 +149,8 @@
         clients=services.clients,
         prompt_tokens=specification.prompt_tokens,
     )
-    if pool is not None and pool.engine is not None:
-        relay.event_tokens = pool.engine.event_tokens
+    if pool is not None and pool.engine_capacity is not None:
+        relay.event_tokens = pool.engine_capacity.event_tokens
     connection = caller_connection(request.environ)
     watch = CallerWatch(connection, lambda: note_caller_left(relay))
     try:
--- a/tests/standins/pools.py
+++ b/tests/standins/pools.py
@@ -67,7 +67,7 @@
         output_token_weight=2.0,
         no_repeat=False,
         default_timeout_s=10.0,
-        engine=EngineCapacity(memory_tokens=100_000),
+        engine_capacity=EngineCapacity(memory_tokens=100_000),
         cold_start=cold_start,
     )
     workspaces = {name: Workspace(name, 1.0, (), frozenset({POOL}), LIMITS) for name in "abcdefgh"}
--- a/tests/steps/admission_steps.py
+++ b/tests/steps/admission_steps.py
@@ -34,8 +34,8 @@
 )
 from myrtlehook_core.process.prompt_caches import PromptCache, count_unread_tokens, record_parts_use
 from myrtlehook_core.process.shares import Shares, apply_level, record_asked
-from myrtlehook_core.version.discovery import Discovery, expire_lapsed, take_servers
-from myrtlehook_core.version.exchange import ConfigurationExchange, take_document
+from myrtlehook_core.version.discovery import Discovery, apply_server_list, expire_deadlines
+from myrtlehook_core.version.exchange import ConfigurationExchange, handle_document
 from standins.histories import History, Network
 from standins.pools import make_request
 
@@ -219,7 +219,7 @@
         exchange = ConfigurationExchange(parser=parse)
         before = exchange.current.version
         for number in numbers:
-            take_document(exchange, str(number), "peer")
+            handle_document(exchange, str(number), "peer")
             assert exchange.current.version >= before
             before = exchange.current.version
         assert before.number == max(numbers)
@@ -280,21 +280,21 @@
 @then("a server that was leaving never comes back under its name")
 def check_leaving(context: Any) -> None:
     discovery = Discovery()
-    take_servers(discovery, [_server("e", leaving=True)], False, 0.0)
-    take_servers(discovery, [_server("e")], False, 1.0)
+    apply_server_list(discovery, [_server("e", leaving=True)], False, 0.0)
+    apply_server_list(discovery, [_server("e")], False, 1.0)
     assert discovery.known["e"].leaving
 
 
 @then("a server that lapsed during an outage stays for two seconds, and one that left is gone")
 def check_lapsed(context: Any) -> None:
     discovery = Discovery()
-    take_servers(discovery, [_server("a"), _server("b")], False, 0.0)
-    take_servers(discovery, [_server("a")], True, 10.0)
+    apply_server_list(discovery, [_server("a"), _server("b")], False, 0.0)
+    apply_server_list(discovery, [_server("a")], True, 10.0)
     assert "b" in discovery.known
-    assert not expire_lapsed(discovery, 11.9)
-    assert expire_lapsed(discovery, 12.1)
+    assert not expire_deadlines(discovery, 11.9)
+    assert expire_deadlines(discovery, 12.1)
     assert "b" not in discovery.known
-    take_servers(discovery, [], False, 13.0)
+    apply_server_list(discovery, [], False, 13.0)
     assert not discovery.known
 
 
--- a/tests/steps/copied_store_property_steps.py
+++ b/tests/steps/copied_store_property_steps.py
@@ -17,15 +17,15 @@
     SourceOrder,
 )
 from myrtlehook_core.version.discovery import (
-    DOUBTED_S,
+    RESTORED_HOLDOFF_S,
     RETURN_GRACE_S,
     Discovery,
     ServerChanges,
     apply_discovery,
-    collect_changes,
-    expire_lapsed,
-    take_changes,
-    take_servers,
+    apply_server_changes,
+    apply_server_list,
+    collect_server_changes,
+    expire_deadlines,
 )
 from myrtlehook_platform.store import Followed, Store, StoreAnswer, StoreFailure
 from myrtlehook_router.process.counters import Counters
@@ -190,7 +190,7 @@
 
 
 def _usable(context: Any, now_s: float) -> set[str]:
-    expire_lapsed(context.discovery, now_s)
+    expire_deadlines(context.discovery, now_s)
     base = Configuration(ConfigurationVersion(1, ""))
     servers = apply_discovery(base, context.discovery).backend_servers
     return {name for name, server in servers.items() if not server.leaving}
@@ -200,19 +200,19 @@
 def know_servers(context: Any) -> None:
     context.discovery = Discovery()
     everything = [_server(name) for name in "abc"]
-    take_servers(context.discovery, everything, False, 0.0, SourceOrder(1, 10))
-    take_servers(context.discovery, everything[:2], False, 1.0, SourceOrder(1, 11))
+    apply_server_list(context.discovery, everything, False, 0.0, SourceOrder(1, 10))
+    apply_server_list(context.discovery, everything[:2], False, 1.0, SourceOrder(1, 11))
 
 
 @when('the store comes back from a copy with "a" and "c"')
 def take_copy(context: Any) -> None:
     copied = [_server("a"), _server("c")]
-    assert take_servers(context.discovery, copied, False, 10.0, SourceOrder(2, 5))
+    assert apply_server_list(context.discovery, copied, False, 10.0, SourceOrder(2, 5))
 
 
 @then('"b" is used for 2 s more, and "c" is not used for 6 s')
 def check_moment(context: Any) -> None:
-    assert (RETURN_GRACE_S, DOUBTED_S) == (2.0, 6.0)
+    assert (RETURN_GRACE_S, RESTORED_HOLDOFF_S) == (2.0, 6.0)
     assert _usable(context, 11.9) == {"a", "b"}
     assert _usable(context, 12.0) == {"a"}
     assert _usable(context, 15.9) == {"a"}
@@ -221,7 +221,7 @@
 @when('"c" is still there after 6 s')
 def keep_third(context: Any) -> None:
     copied = [_server("a"), _server("c")]
-    take_servers(context.discovery, copied, False, 15.95, SourceOrder(2, 7))
+    apply_server_list(context.discovery, copied, False, 15.95, SourceOrder(2, 7))
 
 
 @then('"c" is used again')
@@ -232,20 +232,20 @@
 @then("lists of an earlier era are refused, however high their revision")
 def check_refused(context: Any) -> None:
     discovery = Discovery()
-    take_servers(discovery, [_server("a")], False, 0.0, SourceOrder(2, 5))
-    assert not take_servers(discovery, [_server("b")], False, 1.0, SourceOrder(1, 900))
+    apply_server_list(discovery, [_server("a")], False, 0.0, SourceOrder(2, 5))
+    assert not apply_server_list(discovery, [_server("b")], False, 1.0, SourceOrder(1, 900))
     late = ServerChanges(SourceOrder(1, 900), True, (_server("b"),), frozenset(), ())
-    assert not take_changes(discovery, late, False, 1.0)
+    assert not apply_server_changes(discovery, late, False, 1.0)
     assert set(discovery.known) == {"a"}
 
 
 @then("a peer of an earlier era is told the whole list")
 def check_whole(context: Any) -> None:
     discovery = Discovery()
-    take_servers(discovery, [_server("a"), _server("b")], False, 0.0, SourceOrder(1, 5))
-    take_servers(discovery, [_server("a")], False, 1.0, SourceOrder(1, 6))
-    take_servers(discovery, [_server("a"), _server("c")], False, 2.0, SourceOrder(2, 4))
-    changes = collect_changes(discovery, SourceOrder(1, 900))
+    apply_server_list(discovery, [_server("a"), _server("b")], False, 0.0, SourceOrder(1, 5))
+    apply_server_list(discovery, [_server("a")], False, 1.0, SourceOrder(1, 6))
+    apply_server_list(discovery, [_server("a"), _server("c")], False, 2.0, SourceOrder(2, 4))
+    changes = collect_server_changes(discovery, SourceOrder(1, 900))
     assert changes.whole and not changes.gone
     assert {server.name for server in changes.servers} == {"a", "c"}, changes
 
--- a/tests/steps/entry_steps.py
+++ b/tests/steps/entry_steps.py
@@ -13,8 +13,8 @@
 from myrtlehook_core.version.discovery import (
     Discovery,
     ServerChanges,
-    take_changes,
-    take_servers,
+    apply_server_changes,
+    apply_server_list,
 )
 from myrtlehook_platform.servers import read_server
 from myrtlehook_platform.store import Followed, _decode, _read_servers
@@ -152,23 +152,23 @@
 @when("a peer's whole list after an outage has another start of a server")
 def peer_list_after_outage(context: Any) -> None:
     context.discovery = Discovery()
-    take_servers(context.discovery, [_server(1000)], False, 1.0, order=SourceOrder(0, 5))
+    apply_server_list(context.discovery, [_server(1000)], False, 1.0, order=SourceOrder(0, 5))
     changes = ServerChanges(SourceOrder(0, 6), True, (_server(2000),), frozenset(), ())
-    take_changes(context.discovery, changes, True, 2.0)
+    apply_server_changes(context.discovery, changes, True, 2.0)
 
 
 @when("a list after an outage has another start of a server")
 def list_after_outage(context: Any) -> None:
     context.discovery = Discovery()
-    take_servers(context.discovery, [_server(1000)], False, 1.0, order=SourceOrder(0, 5))
-    take_servers(context.discovery, [_server(2000)], True, 2.0, order=SourceOrder(0, 6))
+    apply_server_list(context.discovery, [_server(1000)], False, 1.0, order=SourceOrder(0, 5))
+    apply_server_list(context.discovery, [_server(2000)], True, 2.0, order=SourceOrder(0, 6))
 
 
 @when("a list with an earlier start comes late")
 def list_late(context: Any) -> None:
     context.discovery = Discovery()
-    take_servers(context.discovery, [_server(2000)], False, 1.0, order=SourceOrder(0, 6))
-    take_servers(context.discovery, [_server(1000)], False, 2.0, order=SourceOrder(0, 5))
+    apply_server_list(context.discovery, [_server(2000)], False, 1.0, order=SourceOrder(0, 6))
+    apply_server_list(context.discovery, [_server(1000)], False, 2.0, order=SourceOrder(0, 5))
 
 
 @then("only the new start is known")
--- a/tests/steps/property_steps.py
+++ b/tests/steps/property_steps.py
@@ -43,7 +43,7 @@
 )
 from myrtlehook_core.request.requests import PoolKey
 from myrtlehook_core.version.assembly import digest_text
-from myrtlehook_core.version.exchange import ConfigurationExchange, take_document, take_manifest
+from myrtlehook_core.version.exchange import ConfigurationExchange, handle_document, handle_manifest
 
 KEY = PoolKey("w", "p")
 OPTIONS = CoreOptions()
@@ -193,8 +193,8 @@
         for number, variant in published:
             content = {"version": number, "parts": [reference]}
             manifest = json.dumps(content) + " " * variant
-            take_manifest(exchange, manifest, "platform")
-            take_document(exchange, part, "platform")
+            handle_manifest(exchange, manifest, "platform")
+            handle_document(exchange, part, "platform")
             assert exchange.current.version >= best
             best = exchange.current.version
         if published:
--- a/tests/steps/source_steps.py
+++ b/tests/steps/source_steps.py
@@ -11,9 +11,9 @@
 from myrtlehook_core import BackendServer, CoreOptions, SourceOrder
 from myrtlehook_core.version.discovery import (
     Discovery,
-    collect_changes,
-    take_changes,
-    take_servers,
+    apply_server_changes,
+    apply_server_list,
+    collect_server_changes,
 )
 from standins.histories import History, Network, Source
 from standins.pools import POOL
@@ -190,12 +190,12 @@
             # Who has said once that it is leaving never comes back under its name.
             left |= {name for name, leaving in listed.items() if leaving}
             servers = [_server(name, name in left) for name in listed]
-            take_servers(reader, servers, False, 0.0, SourceOrder(0, revision))
+            apply_server_list(reader, servers, False, 0.0, SourceOrder(0, revision))
             if revision in told_at or revision == len(published):
-                changes = collect_changes(reader, peer.source_order)
-                take_changes(peer, changes, False, 0.0)
+                changes = collect_server_changes(reader, peer.source_order)
+                apply_server_changes(peer, changes, False, 0.0)
                 assert peer.known == reader.known, (peer.known, reader.known)
                 # What is told twice, or late, changes nothing.
-                assert not take_changes(peer, changes, False, 0.0)
+                assert not apply_server_changes(peer, changes, False, 0.0)
 
     check()
