--- a/packages/router/src/myrtlehook_router/connection/__init__.py
+++ b/packages/router/src/myrtlehook_router/connection/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for one connection: towards callers, backend servers and the platform."""
+"""Connections to clients, backend servers, neighbouring routers and the platform."""
--- a/packages/router/src/myrtlehook_router/connection/backends.py
+++ b/packages/router/src/myrtlehook_router/connection/backends.py
@@ -1,4 +1,4 @@
-"""Pooled HTTP towards backend servers, with failures told apart by what they prove."""
+"""HTTP requests through urllib3's pools, with failures classified by how far a request got."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -13,22 +13,22 @@
 )
 
 CONNECT_TIMEOUT_S = 1.0
-CONNECTIONS_A_SERVER = 512
-SERVERS_POOLED = 4096
+MAX_CONNECTIONS_PER_SERVER = 512
+MAX_POOLED_SERVERS = 4096
 
 
 class SendFailure(StrEnum):
-    """How far a request got that has no answer."""
+    """Why a request has no response, by how far it got."""
 
     NOT_SENT = "not_sent"
-    """No connection was made, so no byte left."""
+    """No connection was established, so no byte was sent."""
     BROKEN = "broken"
     TIMED_OUT = "timed_out"
 
 
 @dataclass(frozen=True, slots=True)
 class BackendRequest:
-    """One HTTP request to a backend server; ``address`` is an IP number and a port."""
+    """One HTTP request to a backend server; ``address`` is an IP address and a port."""
 
     method: str
     address: str
@@ -37,23 +37,23 @@
     body: bytes
     read_timeout_s: float
     fresh_connection: bool = False
-    """Never reuse a connection: the server may be closing it just now."""
+    """Never reuse a connection: the server may be closing it at this moment."""
 
 
-_POOLS = urllib3.PoolManager(
-    num_pools=SERVERS_POOLED, maxsize=CONNECTIONS_A_SERVER, retries=False, block=False
+_POOL_MANAGER = urllib3.PoolManager(
+    num_pools=MAX_POOLED_SERVERS, maxsize=MAX_CONNECTIONS_PER_SERVER, retries=False, block=False
 )
 
 
 def send_request(request: BackendRequest) -> Result[urllib3.BaseHTTPResponse, SendFailure]:
-    """Send a request once, and return its answer's head with the body still to be read."""
+    """Send a request once; returns the response with its body still to be read."""
     timeout = urllib3.Timeout(connect=CONNECT_TIMEOUT_S, read=max(request.read_timeout_s, 0.001))
     headers = dict(request.headers)
     if request.fresh_connection:
         headers["Connection"] = "close"
-    pools = _fresh_pool() if request.fresh_connection else _POOLS
+    pool_manager = _make_single_use_pool() if request.fresh_connection else _POOL_MANAGER
     try:
-        response = pools.urlopen(
+        response = pool_manager.urlopen(
             request.method,
             f"http://{request.address}{request.target}",
             body=request.body,
@@ -73,8 +73,8 @@
     return Ok(response)
 
 
-def read_whole(response: urllib3.BaseHTTPResponse, limit_bytes: int) -> Result[bytes, SendFailure]:
-    """Read a body to its end; a body that breaks off or is too long is a failure."""
+def read_body(response: urllib3.BaseHTTPResponse, limit_bytes: int) -> Result[bytes, SendFailure]:
+    """Read a body to its end; a body that is cut off or above the limit is a failure."""
     try:
         content = response.read(limit_bytes + 1)
     except ReadTimeoutError:
@@ -88,5 +88,5 @@
     return Ok(content)
 
 
-def _fresh_pool() -> urllib3.PoolManager:
+def _make_single_use_pool() -> urllib3.PoolManager:
     return urllib3.PoolManager(num_pools=1, maxsize=1, retries=False)
--- a/packages/router/src/myrtlehook_router/connection/engines.py
+++ b/packages/router/src/myrtlehook_router/connection/engines.py
@@ -1,7 +1,7 @@
-"""The protocol of the model engines, all in one module.
+"""The HTTP protocol of the model engines.
 
-Where the engines speak another protocol, another module of these functions
-replaces this one.
+To support engines with another protocol, replace this module with one that has the
+same functions.
 """
 
 from collections.abc import Callable, Iterator
@@ -16,14 +16,14 @@
 from myrtlehook_router.connection.backends import (
     BackendRequest,
     SendFailure,
-    read_whole,
+    read_body,
     send_request,
 )
 
 LOAD_TIMEOUT_S = 1.0
 ORDER_TIMEOUT_S = 5.0
 CANCEL_TIMEOUT_S = 1.0
-SMALL_BODY_BYTES = 64 * 1024
+MAX_BODY_BYTES = 64 * 1024
 READ_BYTES = 64 * 1024
 EVENT_PREFIX = b"data: "
 JSON_HEADERS = {"Content-Type": "application/json"}
@@ -36,7 +36,7 @@
     offset: int
     text: str = ""
     tokens: int = 1
-    """How many output tokens the text holds."""
+    """The number of output tokens in the text."""
     finish: str = ""
     """Why the run ended; empty on every event but the last."""
     input_tokens: int = 0
@@ -44,7 +44,7 @@
 
 
 class RunOrder(msgspec.Struct, frozen=True):
-    """What an engine is asked to run."""
+    """The request body that starts a run on an engine."""
 
     request_id: str
     attempt: int
@@ -68,11 +68,11 @@
 
 
 class StartFailure(StrEnum):
-    """Why a run has no stream."""
+    """Why the stream of a run could not be opened."""
 
     NOT_SENT = "not_sent"
     REFUSED = "refused"
-    """The engine said that it did not start the run."""
+    """The engine reported that it did not start the run."""
     LEAVING = "leaving"
     UNKNOWN = "unknown"
 
@@ -89,11 +89,11 @@
     address: str,
     order: RunOrder,
     read_timeout_s: float,
-    note_head: Callable[[urllib3.BaseHTTPResponse], object],
+    on_response_head: Callable[[urllib3.BaseHTTPResponse], object],
 ) -> Result[urllib3.BaseHTTPResponse, StartFailure]:
     """Ask an engine to run a request.
 
-    :param note_head: hears of the answer's head, whatever it says.
+    :param on_response_head: called with every response once its head has arrived.
     """
     request = BackendRequest(
         method="POST",
@@ -108,38 +108,38 @@
         not_sent = sent.err_value is SendFailure.NOT_SENT
         return Err(StartFailure.NOT_SENT if not_sent else StartFailure.UNKNOWN)
     response = sent.ok_value
-    note_head(response)
+    on_response_head(response)
     if response.status == 200:
         return Ok(response)
-    return Err(_read_refusal(response))
+    return Err(_read_start_failure(response))
 
 
 def resume_run(
     address: str, request_id: str, next_offset: int, read_timeout_s: float
 ) -> urllib3.BaseHTTPResponse | None:
-    """Ask for a run's stream again from an offset; None when it can't be had."""
+    """Request a run's stream again from an offset; returns None if it is not available."""
     target = f"/v1/runs/{request_id}?from={next_offset}"
     sent = send_request(BackendRequest("GET", address, target, {}, b"", read_timeout_s))
     if isinstance(sent, Err):
         return None
     if sent.ok_value.status == 200:
         return sent.ok_value
-    read_whole(sent.ok_value, SMALL_BODY_BYTES)
+    read_body(sent.ok_value, MAX_BODY_BYTES)
     return None
 
 
 def cancel_run(address: str, request_id: str) -> None:
-    """Tell an engine that nobody waits for a run any more."""
+    """Cancel a run that no client waits for any more."""
     target = f"/v1/runs/{request_id}"
     sent = send_request(BackendRequest("DELETE", address, target, {}, b"", CANCEL_TIMEOUT_S))
     if isinstance(sent, Ok):
-        read_whole(sent.ok_value, SMALL_BODY_BYTES)
+        read_body(sent.ok_value, MAX_BODY_BYTES)
 
 
 def read_events(response: urllib3.BaseHTTPResponse) -> Iterator[EngineEvent]:
-    """Yield a stream's events as they come.
+    """Yield a stream's events as they arrive; the caller stops at the last event.
 
-    :raises StreamBrokenError: when it ends in any way but after its last event.
+    :raises StreamBrokenError: if the stream fails, ends or holds an unreadable event before that.
     """
     pending = b""
     while True:
@@ -157,12 +157,12 @@
 
 
 def fetch_load(backend_server: str, address: str) -> events.LoadReported | None:
-    """Read a backend server's load report; None when it can't be read."""
+    """Fetch a backend server's load report; returns None if that fails."""
     request = BackendRequest("GET", address, "/load", {}, b"", LOAD_TIMEOUT_S)
     sent = send_request(request)
     if isinstance(sent, Err):
         return None
-    content = read_whole(sent.ok_value, SMALL_BODY_BYTES)
+    content = read_body(sent.ok_value, MAX_BODY_BYTES)
     if isinstance(content, Err) or sent.ok_value.status != 200:
         return None
     try:
@@ -184,14 +184,14 @@
 def send_order(action: actions.SendOrder) -> str:
     """Send a fenced order; returns ``applied``, ``refused``, ``newer`` or ``unreachable``.
 
-    A server that does not check the fence is read first, and never sent a version
-    lower than the one it reports.
+    If the server does not check fences itself, its load report is fetched first, and an order
+    whose fence is not above the reported one is not sent.
     """
     if not action.server_checks_fence:
-        seen = fetch_load(action.backend_server, action.address)
-        if seen is None:
+        load = fetch_load(action.backend_server, action.address)
+        if load is None:
             return "unreachable"
-        if seen.applied_fence >= action.fence:
+        if load.applied_fence >= action.fence:
             return "newer"
     body = {
         "fence": action.fence,
@@ -205,7 +205,7 @@
     sent = send_request(request)
     if isinstance(sent, Err):
         return "unreachable"
-    read_whole(sent.ok_value, SMALL_BODY_BYTES)
+    read_body(sent.ok_value, MAX_BODY_BYTES)
     return "applied" if sent.ok_value.status == 200 else "refused"
 
 
@@ -216,8 +216,8 @@
         raise StreamBrokenError(f"unreadable event: {error}") from error
 
 
-def _read_refusal(response: urllib3.BaseHTTPResponse) -> StartFailure:
-    content = read_whole(response, SMALL_BODY_BYTES)
+def _read_start_failure(response: urllib3.BaseHTTPResponse) -> StartFailure:
+    content = read_body(response, MAX_BODY_BYTES)
     if isinstance(content, Err):
         return StartFailure.UNKNOWN
     try:
--- a/packages/router/src/myrtlehook_router/connection/heads.py
+++ b/packages/router/src/myrtlehook_router/connection/heads.py
@@ -1,4 +1,4 @@
-"""Reads the head of a request strictly: what two readers might take differently is refused."""
+"""Reads request heads strictly: rejects what two parsers might interpret differently."""
 
 import io
 import re
@@ -13,7 +13,7 @@
 from myrtlehook_router.process.counters import Counters
 
 TARGET_KEY = "myrtlehook.target"
-"""The request's target as it was sent; ``PATH_INFO`` is decoded and so is another text."""
+"""Environ key of the request target as it was sent; ``PATH_INFO`` holds the decoded path."""
 
 _REQUEST_LINE = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+ /[^\x00-\x20\x7f]* HTTP/1\.[01]\r\n")
 _HEADER_LINE = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+:[^\x00\r\n]*\r\n")
@@ -21,31 +21,31 @@
 
 
 class HeadError(Exception):
-    """A head that is answered with an error; the connection ends with it."""
+    """A request head that is rejected with an error response; the connection is then closed."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
         self.status = status
         self.reason = reason
-        """Names the counter."""
+        """The last part of the counter's name."""
 
 
 def make_strict_protocol(
-    limits: Callable[[], EntryLimits], is_closing: Callable[[], bool], counters: Counters
+    limits: Callable[[], EntryLimits], must_close: Callable[[], bool], counters: Counters
 ) -> type:
-    """Make the protocol class of the routed interface's listener.
+    """Make the protocol class for the listener of the routed interface.
 
-    :param is_closing: whether connections are to end after the answer that is under way.
+    :param must_close: returns whether connections must close after their current response.
     """
 
     class StrictProtocol(wsgi.HttpProtocol):
-        """One connection of a caller."""
+        """A client's connection."""
 
         rfile: Any
         _head: bytes
 
         def _read_request_line(self) -> bytes:
-            """Wait for the first byte as long as a connection may rest."""
+            """Wait for a request up to the idle timeout; returns the first line of its head."""
             self.connection.settimeout(limits().idle_timeout_s)
             try:
                 if not self.rfile.peek(1):
@@ -69,13 +69,13 @@
                 timeout.cancel()
 
         def parse_request(self) -> bool:
-            """Parse the head that was read."""
+            """Parse the head that has been read."""
             fields = self._head.split(_BLANK_LINE, 1)[1]
             self.rfile = io.BytesIO(fields)
             if not super().parse_request():
                 counters.add("refusal.malformed_head")
                 return False
-            if is_closing():
+            if must_close():
                 self.close_connection = True
             return True
 
@@ -97,18 +97,19 @@
 
 
 def read_head(stream: Any, limit_bytes: int) -> bytes:
-    """Read a request line and its headers, up to and with the blank line.
+    """Read a request line and its headers, up to and including the blank line.
 
-    :raises HeadError: when the head is too long or is not what the standard allows.
+    :raises HeadError: if the head is too long or malformed.
+    :raises OSError: if the connection ends before the blank line.
     """
     lines: list[bytes] = []
-    size_bytes = 0
+    head_bytes = 0
     while True:
-        line = stream.readline(limit_bytes + 1 - size_bytes)
+        line = stream.readline(limit_bytes + 1 - head_bytes)
         if not line:
             raise OSError("the connection ended within a head")
-        size_bytes += len(line)
-        if size_bytes > limit_bytes:
+        head_bytes += len(line)
+        if head_bytes > limit_bytes:
             raise HeadError(431, "head_too_large")
         if line == _BLANK_LINE and lines:
             break
@@ -127,19 +128,19 @@
 
 
 def _check_framing(header_lines: list[bytes]) -> None:
-    """Refuse two lengths, a length beside chunks, and codings that are not understood."""
-    lengths = _values(header_lines, b"content-length")
-    codings = _values(header_lines, b"transfer-encoding")
+    """Reject ambiguous body lengths, unsupported transfer codings, and any but one Host header."""
+    lengths = _find_header_values(header_lines, b"content-length")
+    codings = _find_header_values(header_lines, b"transfer-encoding")
     if len(lengths) > 1 or len(codings) > 1 or (lengths and codings):
         raise HeadError(400, "malformed_head")
     if lengths and not (lengths[0].isdigit() and lengths[0].isascii()):
         raise HeadError(400, "malformed_head")
     if codings and codings[0].lower() != b"chunked":
         raise HeadError(400, "malformed_head")
-    if len(_values(header_lines, b"host")) != 1:
+    if len(_find_header_values(header_lines, b"host")) != 1:
         raise HeadError(400, "malformed_head")
 
 
-def _values(header_lines: list[bytes], name: bytes) -> list[bytes]:
+def _find_header_values(header_lines: list[bytes], name: bytes) -> list[bytes]:
     pairs = [line.split(b":", 1) for line in header_lines]
     return [value.strip() for key, value in pairs if key.lower() == name]
--- a/packages/router/src/myrtlehook_router/connection/introductions.py
+++ b/packages/router/src/myrtlehook_router/connection/introductions.py
@@ -1,7 +1,7 @@
-"""What a router says first on a connection that it passes on to another one.
+"""The handshake with which a router passes a client's connection on to another router.
 
-The caller's bytes follow only after the other router has said that it takes them, so a
-connection that was not taken can still be served anywhere.
+The client's bytes follow only after the other router has accepted the connection, so a
+connection that was declined can still be served by any router.
 """
 
 import hashlib
@@ -9,10 +9,10 @@
 import secrets
 from dataclasses import dataclass
 
-TAKEN = b"+"
-NOT_TAKEN = b"-"
+VERDICT_ACCEPTED = b"+"
+VERDICT_DECLINED = b"-"
 
-LONGEST_BYTES = 256
+MAX_INTRODUCTION_BYTES = 256
 _GREETING = "myrtlehook-pass-1"
 _TAG_BYTES = 16
 _NONCE_BYTES = 8
@@ -20,22 +20,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Introduction:
-    """Who passes a connection on, and to whom."""
+    """Which router passes a connection on, and to which one."""
 
     sender: str
-    """Id of the router that holds the caller's connection."""
+    """Id of the router that holds the client's connection."""
     receiver: str
 
 
 def write_introduction(introduction: Introduction, fleet_key: str) -> bytes:
-    """Return the line that proves that a router of the fleet passes a connection on."""
+    """Return the line that proves to the receiver that a router of the fleet is the sender."""
     nonce = secrets.token_hex(_NONCE_BYTES)
     tag = _make_tag(introduction, nonce, fleet_key)
     return f"{_GREETING} {introduction.sender} {nonce} {tag}\n".encode()
 
 
 def read_introduction(line: bytes, receiver: str, fleet_key: str) -> Introduction | None:
-    """Read that line; None when it was not written by a router of the fleet for this one."""
+    """Parse such a line; returns None unless a router of the fleet wrote it for this receiver."""
     try:
         greeting, sender, nonce, tag = line.decode("ascii").split()
     except ValueError:
@@ -43,8 +43,8 @@
     if greeting != _GREETING:
         return None
     introduction = Introduction(sender, receiver)
-    wanted = _make_tag(introduction, nonce, fleet_key)
-    return introduction if hmac.compare_digest(tag, wanted) else None
+    expected_tag = _make_tag(introduction, nonce, fleet_key)
+    return introduction if hmac.compare_digest(tag, expected_tag) else None
 
 
 def _make_tag(introduction: Introduction, nonce: str, fleet_key: str) -> str:
--- a/packages/router/src/myrtlehook_router/connection/listeners.py
+++ b/packages/router/src/myrtlehook_router/connection/listeners.py
@@ -1,4 +1,4 @@
-"""The HTTP listeners: bounds on connections and headers, and what is over them refused."""
+"""HTTP listeners with limits on the number of connections and on the size of headers."""
 
 import logging
 import socket
@@ -17,15 +17,15 @@
     from myrtlehook_core import LimitSettings
 
 BACKLOG = 1024
-ACCEPTING_S = 0.01
-"""For so long connections are accepted before all other tasks have their turns. A number of them
-would do so too, but leave callers in the kernel's queue, where nobody sees how long they wait."""
+MAX_ACCEPT_BURST_S = 0.01
+"""Connections are accepted for this long before all other tasks get a turn. A limit on their number
+would do so too, but leave clients in the kernel's queue, where nothing measures their wait."""
 
-SPARE_CONNECTIONS = 64
-"""Connections above the bound that are taken only to be told so."""
+MAX_REFUSED_CONNECTIONS = 64
+"""The number of connections above the limit that are accepted only to be refused."""
 
 _FULL_BODY = b'{"error":{"code":"connections_full","message":"too many open connections"}}'
-TOO_MANY_CONNECTIONS = (
+CONNECTIONS_FULL_RESPONSE = (
     b"HTTP/1.1 503 Service Unavailable\r\n"
     b"Content-Type: application/json\r\n"
     b"Retry-After: 1\r\n"
@@ -40,89 +40,89 @@
 def serve_http(
     listener: Listener, application: Application, limits: "LimitSettings", counters: Counters
 ) -> None:
-    """Serve an application until the process ends; the loop of this task."""
+    """Serve an application until the process ends; the main loop of a task."""
     wsgi.MAX_TOTAL_HEADER_SIZE = limits.header_bytes
     wsgi.MAX_HEADER_LINE = min(limits.header_bytes, 8192)
     wsgi.server(
         open_listener(listener),
         application,
-        log=silent_log(),
+        log=get_silent_logger(),
         log_output=False,
         debug=False,
-        protocol=_make_protocol(limits, counters),
-        custom_pool=eventlet.GreenPool(limits.connections + SPARE_CONNECTIONS),
+        protocol=_make_bounded_protocol(limits, counters),
+        custom_pool=eventlet.GreenPool(limits.connections + MAX_REFUSED_CONNECTIONS),
         socket_timeout=limits.idle_connection_s,
     )
 
 
 class PacedListener:
-    """A listening socket that leaves other tasks their turns while callers connect in a burst.
+    """A listening socket that lets other tasks run while clients connect in a burst.
 
-    Accepting never waits while connections do: without it one turn of the loop would take all of
-    them, and each timer and each answer under way would be late by as long.
+    Accepting does not switch tasks while connections are pending. Without pacing, one turn of the
+    event loop would accept all of them and delay every timer and response under way by that time.
     """
 
     def __init__(self, listener: Any, clock: Callable[[], float] = clocks.now_s) -> None:
-        """Pace a listening socket of eventlet's."""
+        """Wrap a listening socket of eventlet."""
         self._listener = listener
         self._clock = clock
-        self._turn_began_s = clock()
+        self._burst_began_s = clock()
         self.family = listener.family
-        """The server asks for it."""
+        """Read by eventlet's WSGI server."""
 
     def accept(self) -> Any:
-        """Return the next connection and its other end's address; waits for it."""
-        if self._clock() - self._turn_began_s >= ACCEPTING_S:
+        """Wait for the next connection; returns it with the address of its peer."""
+        if self._clock() - self._burst_began_s >= MAX_ACCEPT_BURST_S:
             eventlet.sleep(0)
-            self._turn_began_s = self._clock()
+            self._burst_began_s = self._clock()
         return self._listener.accept()
 
     def getsockname(self) -> Any:
-        """Return the address that callers connect to."""
+        """Return the address that clients connect to."""
         return self._listener.getsockname()
 
     def close(self) -> None:
-        """Take no connections any more."""
+        """Stop accepting connections."""
         self._listener.close()
 
 
-def silent_log() -> logging.Logger:
-    """Return a logger that swallows what the server itself would write."""
+def get_silent_logger() -> logging.Logger:
+    """Return a logger that discards the messages of eventlet's WSGI server."""
     silent = logging.getLogger("eventlet.wsgi")
     silent.disabled = True
     return silent
 
 
 def open_listener(listener: Listener) -> Any:
-    """Open a listening socket whose connections send every write at once."""
+    """Open a listening socket whose connections send every write immediately."""
     opened = eventlet.listen((listener.address, listener.port), backlog=BACKLOG, reuse_port=False)
-    return _send_at_once(opened)
+    return _disable_write_delay(opened)
 
 
 def adopt_listener(opened: socket.socket) -> Any:
-    """Take over a listening socket that was opened before this process was patched."""
+    """Wrap a listening socket that was opened before eventlet patched this process."""
     adopted = GreenSocket(opened.family, opened.type, fileno=opened.detach())
-    return _send_at_once(adopted)
+    return _disable_write_delay(adopted)
 
 
-def _send_at_once(opened: Any) -> Any:
-    # Accepted connections inherit this. Without it the kernel holds the last small
-    # write of an answer back for the peer's delayed acknowledgement, some 40 ms.
+def _disable_write_delay(opened: Any) -> Any:
+    # Accepted connections inherit this option. Without it the kernel holds back the last
+    # small write of a response until the peer's delayed acknowledgement, about 40 ms.
     opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return opened
 
 
-def _make_protocol(limits: "LimitSettings", counters: Counters) -> type:
-    """Make a protocol class that counts connections and refuses those over the bound."""
+def _make_bounded_protocol(limits: "LimitSettings", counters: Counters) -> type:
+    """Make a protocol class that counts connections and refuses those above the limit."""
     open_connections = [0]
 
     class BoundedProtocol(wsgi.HttpProtocol):
-        """One connection of a caller."""
+        """A client's connection."""
 
         def handle(self) -> None:
             if open_connections[0] >= limits.connections:
                 counters.add("refusal.connections_full")
-                self.wfile.write(TOO_MANY_CONNECTIONS)
+                self.wfile.write(CONNECTIONS_FULL_RESPONSE)
                 return
             open_connections[0] += 1
             try:
@@ -133,7 +133,7 @@
         def handle_one_request(self) -> None:
             self.environ = None
             super().handle_one_request()
-            # The server itself answers a head that it will not read.
+            # eventlet's server answers a head that it rejects without building an environ.
             if self.raw_requestline and self.environ is None:
                 counters.add("refusal.malformed_head")
 
--- a/packages/router/src/myrtlehook_router/connection/passed.py
+++ b/packages/router/src/myrtlehook_router/connection/neighbour_protocols.py
@@ -1,13 +1,13 @@
-"""The listener for connections that neighbours pass on: each is served for one request."""
+"""The protocol of the listener for connections that neighbouring routers pass on."""
 
 from collections.abc import Callable
 
 import eventlet
 
 from myrtlehook_router.connection.introductions import (
-    LONGEST_BYTES,
-    NOT_TAKEN,
-    TAKEN,
+    MAX_INTRODUCTION_BYTES,
+    VERDICT_ACCEPTED,
+    VERDICT_DECLINED,
     read_introduction,
 )
 from myrtlehook_router.process.counters import Counters
@@ -18,38 +18,42 @@
 _log = get_logger("passed")
 
 
-def make_passed_protocol(
-    protocol: type, router_id: str, fleet_key: str, takes: Callable[[], bool], counters: Counters
+def make_neighbour_protocol(
+    protocol: type,
+    router_id: str,
+    fleet_key: str,
+    can_accept: Callable[[], bool],
+    counters: Counters,
 ) -> type:
     """Make the protocol class of the listener for neighbours' connections.
 
-    :param protocol: how callers are spoken to; it ends a connection after one answer, so
-        that a neighbour that stops has no resting connections of its callers here.
-    :param takes: whether this router has processor time to spare.
+    :param protocol: the protocol class for clients; it closes a connection after one response,
+        so that a neighbour that stops has no idle connections of its clients here.
+    :param can_accept: returns whether this router can serve other routers' clients now.
     """
 
-    class PassedProtocol(protocol):
-        """One connection that a neighbour passes on."""
+    class NeighbourProtocol(protocol):
+        """A connection that a neighbour passes on."""
 
         def handle(self) -> None:
-            """Serve the caller behind a neighbour, unless this router is short itself."""
+            """Serve the client of a neighbour, unless this router has no capacity to spare."""
             line = self._read_introduction()
             introduction = read_introduction(line, router_id, fleet_key)
             if introduction is None:
                 counters.add("passed.not_introduced")
                 _log.warning("connection not introduced", line=repr(line[:40]))
                 return
-            if not takes():
+            if not can_accept():
                 counters.add("passed.not_taken")
-                self._answer(NOT_TAKEN)
+                self._send_verdict(VERDICT_DECLINED)
                 return
             counters.add("passed.taken")
             _log.info("connection taken", sender=introduction.sender)
-            if self._answer(TAKEN):
+            if self._send_verdict(VERDICT_ACCEPTED):
                 super().handle()
 
-        def _answer(self, verdict: bytes) -> bool:
-            """Tell the neighbour; False when it has gone, or asked another router."""
+        def _send_verdict(self, verdict: bytes) -> bool:
+            """Send the verdict; returns False if the neighbour is gone or asked another router."""
             try:
                 self.connection.sendall(verdict)
             except OSError:
@@ -60,9 +64,9 @@
         def _read_introduction(self) -> bytes:
             try:
                 with eventlet.Timeout(INTRODUCTION_TIMEOUT_S):
-                    line: bytes = self.rfile.readline(LONGEST_BYTES)
+                    line: bytes = self.rfile.readline(MAX_INTRODUCTION_BYTES)
             except (eventlet.Timeout, OSError):
                 return b""
             return line
 
-    return PassedProtocol
+    return NeighbourProtocol
--- a/packages/router/src/myrtlehook_router/connection/passing.py
+++ b/packages/router/src/myrtlehook_router/connection/passing.py
@@ -1,7 +1,7 @@
-"""Passes callers' connections on to a neighbour while this router is short of processor time.
+"""Passes clients' connections on to neighbouring routers while this one is short of CPU time.
 
-The neighbour decides, sends and answers as for callers of its own; only bytes cross this
-router. A connection is given back to be served here when no neighbour takes it.
+A neighbour handles the requests as it does those of its own clients; this router only
+relays the bytes. A connection that no neighbour accepts is served here.
 """
 
 import errno
@@ -22,7 +22,7 @@
     note_short,
 )
 from myrtlehook_router.connection.introductions import (
-    TAKEN,
+    VERDICT_ACCEPTED,
     Introduction,
     write_introduction,
 )
@@ -32,258 +32,268 @@
 from myrtlehook_router.process.logs import get_logger
 
 VERDICT_TIMEOUT_S = 0.15
-"""A neighbour in the own zone answers within a few milliseconds unless it is short itself."""
+"""A neighbour in the same zone replies within a few ms unless it is short of CPU time itself."""
 
-MOST_ASKED = 2
-"""Neighbours asked for one connection before it is served here."""
+MAX_NEIGHBOURS_ASKED = 2
+"""The number of neighbours asked to accept a connection before it is served here."""
 
-UNSENT_TIMEOUT_MS = 2000
-"""A neighbour that acknowledges nothing for this long is gone."""
+UNACKNOWLEDGED_TIMEOUT_MS = 2000
+"""A neighbour that has not acknowledged sent bytes for this long is considered gone."""
 
-DEAD_PATIENCE_S = 2.0
-"""What a neighbour serves is broken off once it has counted as dead for this long.
+DEAD_ABORT_DELAY_S = 2.0
+"""A passed connection is aborted once its neighbour has been considered dead for this long.
 
-Members are taken for dead after 0.55 s without an answer, which a full link or a pause
-reaches as well; their answers would be lost for nothing. Callers of one that is really
-gone learn it from the kernel's own probes of the connection, or this much later.
+Members are considered dead after 0.55 s without an answer. A saturated link or a pause of the
+process can last as long, and aborting at once would lose responses that still arrive. If the
+neighbour is really gone, its clients find out through the kernel's keep-alive probes of the
+connection, or after this delay.
 """
 
 _socket = patcher.original("socket")
-"""eventlet's own sockets would wait in a task, and here are none."""
+"""Unpatched, because eventlet's sockets wait in a task, and this code runs in loop callbacks."""
 
 _log = get_logger("passing")
 
-_KEEP_ALIVE = (
+_KEEPALIVE_OPTIONS = (
     (_socket.SOL_SOCKET, _socket.SO_KEEPALIVE, 1),
     (_socket.IPPROTO_TCP, _socket.TCP_KEEPIDLE, 1),
     (_socket.IPPROTO_TCP, _socket.TCP_KEEPINTVL, 1),
     (_socket.IPPROTO_TCP, _socket.TCP_KEEPCNT, 2),
 )
-"""The kernel asks a silent neighbour's machine each second whether it is still there. While
-an answer is waited for nothing is unsent, so nothing else would tell that a connection has
-gone silent for good."""
+"""The kernel probes a silent neighbour's machine each second. While a response is awaited no
+sent bytes are unacknowledged, so nothing else would detect that the neighbour is gone."""
 
 Accepted = tuple[Any, Any]
-"""A connection as eventlet accepted it, with its other end's address."""
+"""A connection as accepted by eventlet, and the address of its peer."""
 
 
 @dataclass(frozen=True, slots=True)
-class PassingPlaces:
-    """Who passes connections on, and where to."""
+class PassingConfig:
+    """The identity of the router that passes connections on, and its neighbours' port."""
 
     router_id: str
     fleet_key: str
-    port: int
-    """At which every router takes connections from its neighbours."""
+    neighbour_port: int
+    """The port at which every router accepts connections from its neighbours."""
 
 
 @dataclass(slots=True)
 class PassedConnection:
-    """One connection on its way to a neighbour."""
+    """A client's connection that a neighbour serves or is asked to serve."""
 
     accepted: Accepted
-    give_back: Callable[[Accepted], None]
-    tried: set[str] = field(default_factory=set)
-    neighbour: str = ""
-    helper: Any = None
-    introduced: bool = False
-    """Whether the neighbour has been told who asks."""
-    listener: Any = None
-    timer: Any = None
+    serve_here: Callable[[Accepted], None]
+    tried_neighbours: set[str] = field(default_factory=set)
+    neighbour_id: str = ""
+    neighbour_socket: Any = None
+    introduction_sent: bool = False
+    """Whether the introduction has been sent to the neighbour."""
+    hub_listener: Any = None
+    verdict_timer: Any = None
     splice: Splice | None = None
 
 
-class Passer:
-    """All connections that neighbours serve for this router."""
+class ConnectionPasser:
+    """Passes connections on to neighbours, and keeps those that they serve."""
 
     def __init__(
         self,
-        places: PassingPlaces,
+        config: PassingConfig,
         table: MemberTable,
         draw: Callable[[], float],
         counters: Counters,
     ) -> None:
-        self._places = places
+        self._config = config
         self._table = table
         self._draw = draw
         self._counters = counters
         self._passed: dict[int, PassedConnection] = {}
         self.neighbours = Neighbours()
 
-    def pass_on(self, accepted: Accepted, give_back: Callable[[Accepted], None]) -> bool:
-        """Offer a caller's connection to a neighbour; False when there is none to ask.
+    def pass_on(self, accepted: Accepted, serve_here: Callable[[Accepted], None]) -> bool:
+        """Offer a client's connection to a neighbour; returns False if none can be asked.
 
-        :param give_back: called later if no neighbour takes the connection.
+        :param serve_here: called later with the connection if no neighbour accepts it.
         """
-        passed = PassedConnection(accepted, give_back)
-        if not self._ask(passed):
+        passed = PassedConnection(accepted, serve_here)
+        if not self._ask_next_neighbour(passed):
             return False
         self._passed[id(passed)] = passed
         return True
 
     def count_requests(self) -> int:
-        """Return how many connections carry a request to a neighbour."""
+        """Return the number of connections that carry a request to a neighbour."""
         return sum(
             passed.splice is not None and passed.splice.carries_request
             for passed in self._passed.values()
         )
 
     def count_connections(self) -> int:
-        """Return how many connections neighbours serve or are asked to."""
+        """Return the number of connections that neighbours serve or are asked to serve."""
         return len(self._passed)
 
-    def drop_dead(self) -> None:
-        """Break off what routers serve that stay dead: their callers may ask again."""
+    def abort_dead_neighbours(self) -> None:
+        """Abort connections whose neighbour stays dead or is not listed; clients may retry."""
         now_s = clocks.now_s()
         for passed in list(self._passed.values()):
-            member = self._table.members.get(passed.neighbour)
-            if member is not None and not _stays_dead(member, now_s):
+            member = self._table.members.get(passed.neighbour_id)
+            if member is not None and not _has_stayed_dead(member, now_s):
                 continue
             if passed.splice is not None:
                 self._counters.add("passed.neighbour_died")
-                _log.warning("neighbour given up", neighbour=passed.neighbour)
+                _log.warning("neighbour given up", neighbour=passed.neighbour_id)
                 passed.splice.abort()
 
-    def _ask(self, passed: PassedConnection) -> bool:
-        """Ask the next neighbour; False when none is left."""
-        if len(passed.tried) >= MOST_ASKED:
+    def _ask_next_neighbour(self, passed: PassedConnection) -> bool:
+        """Ask the next neighbour to serve the connection; returns False if none can be asked."""
+        if len(passed.tried_neighbours) >= MAX_NEIGHBOURS_ASKED:
             return False
         now_s = clocks.now_s()
-        tried = frozenset(passed.tried)
+        tried = frozenset(passed.tried_neighbours)
         member = choose_neighbour(self.neighbours, self._table, now_s, self._draw, tried)
         if member is None:
             return False
-        helper = self._open_socket()
-        if helper is None:
+        neighbour_socket = self._open_socket()
+        if neighbour_socket is None:
             return False
-        passed.helper = helper
-        passed.introduced = False
-        passed.tried.add(member.router_id)
-        passed.neighbour = member.router_id
+        passed.neighbour_socket = neighbour_socket
+        passed.introduction_sent = False
+        passed.tried_neighbours.add(member.router_id)
+        passed.neighbour_id = member.router_id
         note_opened(self.neighbours, member.router_id)
-        self._connect(passed, helper, member)
+        self._connect(passed, neighbour_socket, member)
         return True
 
     def _open_socket(self) -> Any | None:
-        """Return a new socket; None for want of descriptors."""
+        """Return a new socket, or None if the process is out of file descriptors."""
         try:
-            helper = _socket.socket(_socket.AF_INET, _socket.SOCK_STREAM)
+            neighbour_socket = _socket.socket(_socket.AF_INET, _socket.SOCK_STREAM)
         except OSError:
             self._counters.add("passed.no_descriptor")
             return None
-        helper.setblocking(False)
-        helper.setsockopt(_socket.IPPROTO_TCP, _socket.TCP_NODELAY, 1)
-        helper.setsockopt(_socket.IPPROTO_TCP, _socket.TCP_USER_TIMEOUT, UNSENT_TIMEOUT_MS)
-        for option in _KEEP_ALIVE:
-            helper.setsockopt(*option)
-        return helper
-
-    def _connect(self, passed: PassedConnection, helper: Any, member: Member) -> None:
+        neighbour_socket.setblocking(False)
+        neighbour_socket.setsockopt(_socket.IPPROTO_TCP, _socket.TCP_NODELAY, 1)
+        neighbour_socket.setsockopt(
+            _socket.IPPROTO_TCP, _socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_TIMEOUT_MS
+        )
+        for option in _KEEPALIVE_OPTIONS:
+            neighbour_socket.setsockopt(*option)
+        return neighbour_socket
+
+    def _connect(self, passed: PassedConnection, neighbour_socket: Any, member: Member) -> None:
         hub = hubs.get_hub()
-        passed.timer = hub.schedule_call_global(VERDICT_TIMEOUT_S, lambda: self._time_out(passed))
+        passed.verdict_timer = hub.schedule_call_global(
+            VERDICT_TIMEOUT_S, lambda: self._handle_timeout(passed)
+        )
         ip = member.address.rpartition(":")[0]
-        status = helper.connect_ex((ip, self._places.port))
+        status = neighbour_socket.connect_ex((ip, self._config.neighbour_port))
         if status not in (0, errno.EINPROGRESS):
-            # Not at once: the caller of this method has not stored the connection yet.
-            hub.schedule_call_global(0, lambda: self._give_up(passed, "not_connected"))
+            # Deferred, because pass_on() has not stored the connection yet.
+            hub.schedule_call_global(0, lambda: self._give_up_neighbour(passed, "not_connected"))
             return
-        self._listen(passed, helper, hubs.hub.WRITE, self._introduce)
+        self._add_listener(passed, neighbour_socket, hubs.hub.WRITE, self._send_introduction)
 
-    def _introduce(self, passed: PassedConnection) -> None:
-        helper = passed.helper
-        if helper is None:
+    def _send_introduction(self, passed: PassedConnection) -> None:
+        neighbour_socket = passed.neighbour_socket
+        if neighbour_socket is None:
             return
-        self._stop_listening(passed)
-        status = helper.getsockopt(_socket.SOL_SOCKET, _socket.SO_ERROR)
+        self._remove_listener(passed)
+        status = neighbour_socket.getsockopt(_socket.SOL_SOCKET, _socket.SO_ERROR)
         if status:
-            self._give_up(passed, "not_connected")
+            self._give_up_neighbour(passed, "not_connected")
             return
-        introduction = Introduction(self._places.router_id, passed.neighbour)
+        introduction = Introduction(self._config.router_id, passed.neighbour_id)
         try:
-            helper.send(write_introduction(introduction, self._places.fleet_key))
+            neighbour_socket.send(write_introduction(introduction, self._config.fleet_key))
         except OSError:
-            self._give_up(passed, "not_connected")
+            self._give_up_neighbour(passed, "not_connected")
             return
-        passed.introduced = True
-        self._listen(passed, helper, hubs.hub.READ, self._take_verdict)
-
-    def _time_out(self, passed: PassedConnection) -> None:
-        """Give a neighbour up whose verdict has not arrived, also not while the loop was late."""
-        asked = passed.helper
-        if passed.introduced:
-            self._take_verdict(passed)
-        if passed.helper is asked:
-            self._give_up(passed, "no_answer")
-
-    def _take_verdict(self, passed: PassedConnection) -> None:
-        helper = passed.helper
-        if helper is None:
+        passed.introduction_sent = True
+        self._add_listener(passed, neighbour_socket, hubs.hub.READ, self._receive_verdict)
+
+    def _handle_timeout(self, passed: PassedConnection) -> None:
+        """Give up on a neighbour without a verdict, unless one arrived while the loop was late."""
+        asked_socket = passed.neighbour_socket
+        if passed.introduction_sent:
+            self._receive_verdict(passed)
+        if passed.neighbour_socket is asked_socket:
+            self._give_up_neighbour(passed, "no_answer")
+
+    def _receive_verdict(self, passed: PassedConnection) -> None:
+        neighbour_socket = passed.neighbour_socket
+        if neighbour_socket is None:
             return
         try:
-            verdict = helper.recv(1)
+            verdict = neighbour_socket.recv(1)
         except BlockingIOError:
             return
         except OSError:
             verdict = b""
-        if verdict != TAKEN:
-            self._give_up(passed, "neighbour_short")
+        if verdict != VERDICT_ACCEPTED:
+            self._give_up_neighbour(passed, "neighbour_short")
             return
-        self._stop_listening(passed)
-        passed.timer.cancel()
+        self._remove_listener(passed)
+        passed.verdict_timer.cancel()
         self._counters.add("passed.connections")
-        connection = _take_over(passed.accepted)
-        passed.splice = Splice(connection, helper, lambda: self._forget(passed))
+        connection = _detach_socket(passed.accepted)
+        passed.splice = Splice(
+            connection, neighbour_socket, lambda: self._remove_connection(passed)
+        )
         passed.splice.start()
 
-    def _give_up(self, passed: PassedConnection, reason: str) -> None:
-        """Ask another neighbour, or let this router serve the connection after all."""
-        if passed.helper is None or passed.splice is not None:
+    def _give_up_neighbour(self, passed: PassedConnection, reason: str) -> None:
+        """Ask another neighbour, or have this router serve the connection if none is left."""
+        if passed.neighbour_socket is None or passed.splice is not None:
             return
-        self._stop_listening(passed)
-        passed.timer.cancel()
-        passed.helper.close()
-        passed.helper = None
+        self._remove_listener(passed)
+        passed.verdict_timer.cancel()
+        passed.neighbour_socket.close()
+        passed.neighbour_socket = None
         self._counters.add(f"passed.{reason}")
-        note_closed(self.neighbours, passed.neighbour)
-        note_short(self.neighbours, passed.neighbour, clocks.now_s())
-        if self._ask(passed):
+        note_closed(self.neighbours, passed.neighbour_id)
+        note_short(self.neighbours, passed.neighbour_id, clocks.now_s())
+        if self._ask_next_neighbour(passed):
             return
         self._passed.pop(id(passed), None)
-        passed.give_back(passed.accepted)
+        passed.serve_here(passed.accepted)
 
-    def _listen(
+    def _add_listener(
         self,
         passed: PassedConnection,
-        helper: Any,
+        neighbour_socket: Any,
         event: str,
-        call: Callable[[PassedConnection], None],
+        callback: Callable[[PassedConnection], None],
     ) -> None:
         """Have the event loop call back once the neighbour's connection is ready.
 
-        :param event: the loop's word for reading or writing.
+        :param event: the event loop's constant for reading or writing.
         """
-        passed.listener = hubs.get_hub().add(
-            event, helper.fileno(), lambda _: call(passed), lambda _: None, lambda: None
+        passed.hub_listener = hubs.get_hub().add(
+            event,
+            neighbour_socket.fileno(),
+            lambda _: callback(passed),
+            lambda _: None,
+            lambda: None,
         )
 
-    def _stop_listening(self, passed: PassedConnection) -> None:
-        if passed.listener is not None:
-            hubs.get_hub().remove(passed.listener)
-            passed.listener = None
+    def _remove_listener(self, passed: PassedConnection) -> None:
+        if passed.hub_listener is not None:
+            hubs.get_hub().remove(passed.hub_listener)
+            passed.hub_listener = None
 
-    def _forget(self, passed: PassedConnection) -> None:
-        note_closed(self.neighbours, passed.neighbour)
+    def _remove_connection(self, passed: PassedConnection) -> None:
+        note_closed(self.neighbours, passed.neighbour_id)
         self._passed.pop(id(passed), None)
 
 
-def _stays_dead(member: Member, now_s: float) -> bool:
+def _has_stayed_dead(member: Member, now_s: float) -> bool:
     if member.state is not MemberState.DEAD:
         return False
-    return now_s - member.changed_at_s >= DEAD_PATIENCE_S
+    return now_s - member.changed_at_s >= DEAD_ABORT_DELAY_S
 
 
-def _take_over(accepted: Accepted) -> Any:
-    """Return a caller's connection as one that eventlet's own object knows nothing of."""
+def _detach_socket(accepted: Accepted) -> Any:
+    """Detach a client's connection from eventlet's socket object, as a plain non-blocking one."""
     connection = _socket.socket(fileno=accepted[0].fd.detach())
     connection.setblocking(False)
     return connection
--- a/packages/router/src/myrtlehook_router/connection/runs.py
+++ b/packages/router/src/myrtlehook_router/connection/runs.py
@@ -1,4 +1,4 @@
-"""One run on an engine: its stream, resumed when it breaks, each event delivered once."""
+"""One run on an engine: its stream is resumed when it breaks, and each event delivered once."""
 
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
@@ -17,10 +17,10 @@
 from myrtlehook_router.process import clocks
 
 RESUME_DELAYS_S = (0.0, 0.05, 0.2, 0.5, 1.0, 1.0)
-"""Waits before each try to resume; then the stream is lost."""
+"""The delay before each attempt to resume a stream; after the last one the stream is lost."""
 
 EVENT_TIMEOUT_S = 30.0
-"""Longest silence on a stream before it is resumed."""
+"""The longest silence on a stream before it is resumed."""
 
 
 class StreamLostError(Exception):
@@ -35,9 +35,9 @@
     request_id: str
     deadline_s: float
     response: urllib3.BaseHTTPResponse | None
-    count: Callable[[str], None]
-    note_broken: Callable[[], None]
-    """Looks whether the engine has ended, after a stream has broken."""
+    add_to_counter: Callable[[str], None]
+    check_engine: Callable[[], None]
+    """Checks whether the engine has ended; called after its stream has broken."""
     position: StreamPosition = field(init=False)
 
     def __post_init__(self) -> None:
@@ -45,24 +45,24 @@
 
 
 def deliver_events(run: EngineRun) -> Iterator[EngineEvent]:
-    """Yield every event of a run once and in order, the last one included.
+    """Yield every event of a run once and in order, including the last one.
 
-    :raises StreamLostError: when the engine can't go on with the stream.
+    :raises StreamLostError: if the stream breaks and cannot be resumed.
     """
     while not run.position.finished:
         if run.response is None:
-            run.response = _resume(run)
+            run.response = _resume_stream(run)
         try:
-            yield from _deliver_connected(run, run.response)
+            yield from _deliver_from_response(run, run.response)
         except StreamBrokenError:
-            run.count("stream.broken")
-            run.note_broken()
+            run.add_to_counter("stream.broken")
+            run.check_engine()
             run.response.close()
             run.response = None
 
 
 def stop_run(run: EngineRun) -> None:
-    """Cancel a run that nobody waits for, and free its connection."""
+    """Close the connection of a run that nobody waits for, and cancel the run if unfinished."""
     if run.response is not None:
         run.response.close()
         run.response = None
@@ -70,51 +70,53 @@
         cancel_run(run.address, run.request_id)
 
 
-def read_timeout_s(deadline_s: float) -> float:
+def compute_read_timeout_s(deadline_s: float) -> float:
     """Return how long to wait for the next event."""
     return max(min(deadline_s - clocks.now_s(), EVENT_TIMEOUT_S), 0.001)
 
 
-def _deliver_connected(run: EngineRun, response: urllib3.BaseHTTPResponse) -> Iterator[EngineEvent]:
+def _deliver_from_response(
+    run: EngineRun, response: urllib3.BaseHTTPResponse
+) -> Iterator[EngineEvent]:
     for event in read_events(response):
         verdict = judge_event(run.position, event.request_id, event.offset)
         if verdict is EventVerdict.DELIVER:
             if event.finish:
                 run.position.finished = True
-                _release(run, response)
+                _release_connection(run, response)
                 yield event
                 return
             yield event
             continue
-        run.count(f"stream.{verdict.value}")
+        run.add_to_counter(f"stream.{verdict.value}")
         if verdict is not EventVerdict.DUPLICATE:
             raise StreamBrokenError(verdict.value)
 
 
-def _release(run: EngineRun, response: urllib3.BaseHTTPResponse) -> None:
-    """Give the connection back to its pool once the body has ended."""
+def _release_connection(run: EngineRun, response: urllib3.BaseHTTPResponse) -> None:
+    """Return the connection to its pool once the body has ended."""
     run.response = None
     try:
-        rest = response.read()
+        remainder = response.read()
     except (urllib3.exceptions.HTTPError, OSError):
-        rest = b"broken"
-    if rest.strip():
+        remainder = b"broken"
+    if remainder.strip():
         response.close()
     else:
         response.release_conn()
 
 
-def _resume(run: EngineRun) -> urllib3.BaseHTTPResponse:
+def _resume_stream(run: EngineRun) -> urllib3.BaseHTTPResponse:
     for delay_s in RESUME_DELAYS_S:
         eventlet.sleep(delay_s)
         if clocks.now_s() >= run.deadline_s:
             break
-        wait_s = read_timeout_s(run.deadline_s)
-        response = resume_run(run.address, run.request_id, run.position.next_offset, wait_s)
+        timeout_s = compute_read_timeout_s(run.deadline_s)
+        response = resume_run(run.address, run.request_id, run.position.next_offset, timeout_s)
         if response is not None:
-            run.count("stream.resumed")
+            run.add_to_counter("stream.resumed")
             return response
-    run.count("stream.lost")
+    run.add_to_counter("stream.lost")
     raise StreamLostError(
         f"run {run.request_id} could not be resumed at {run.position.next_offset}"
     )
--- a/packages/router/src/myrtlehook_router/connection/server_checks.py
+++ b/packages/router/src/myrtlehook_router/connection/server_checks.py
@@ -1,7 +1,7 @@
-"""Tells a backend server that has ended from one that only broke off an answer.
+"""Distinguishes a backend server whose process has ended from one that only cut off a response.
 
-A broken connection proves nothing: the server may have cut one answer off, or a link was
-reset. A server whose process has ended refuses connections; one that lives takes them.
+A broken connection proves nothing: the server may have cut off one response, or a link was
+reset. A server whose process has ended refuses new connections; a live one accepts them.
 """
 
 from dataclasses import dataclass
@@ -13,30 +13,30 @@
 from myrtlehook_router.process import clocks
 
 CHECK_DELAY_S = 0.02
-"""A process that ends closes its connections and its listener in any order."""
+"""The delay before a check; an ending process closes connections and listener in any order."""
 
 CHECK_TIMEOUT_S = 0.15
-"""The way there and back, between regions as well; the caller's next attempt waits for it."""
+"""Covers a round trip between regions; short, as the client's next attempt waits for the check."""
 
-KEPT_S = 0.2
-"""An end breaks all answers of a server at once; they share one check."""
+RESULT_LIFETIME_S = 0.2
+"""How long a result is reused, because an end breaks all responses of a server at once."""
 
 
 class ServerState(StrEnum):
-    """What a new connection has shown of a server."""
+    """The state of a server as found by a new connection to it."""
 
     ENDED = "ended"
     """Nothing listens at its address."""
     LISTENS = "listens"
     SILENT = "silent"
-    """No answer: cut off, without power, or too busy to tell."""
+    """No answer: unreachable, powered off, or too busy to answer."""
 
 
 @dataclass(slots=True)
 class _Check:
     done: Event
     deadline_s: float
-    """Until when its result holds."""
+    """When its result expires."""
 
 
 class ServerChecks:
@@ -46,26 +46,26 @@
         self._checks: dict[str, _Check] = {}
 
     def check(self, address: str) -> ServerState:
-        """Return whether a server has ended; waits for the answer."""
+        """Wait for a check of whether a server has ended; returns the state found."""
         now_s = clocks.now_s()
         check = self._checks.get(address)
         if check is None or now_s >= check.deadline_s:
-            longest_s = CHECK_DELAY_S + CHECK_TIMEOUT_S
-            check = _Check(Event(), now_s + longest_s + KEPT_S)
+            max_check_s = CHECK_DELAY_S + CHECK_TIMEOUT_S
+            check = _Check(Event(), now_s + max_check_s + RESULT_LIFETIME_S)
             self._checks[address] = check
-            self._drop_old(now_s)
-            # A task of its own: whoever asks may be ended meanwhile, and others wait too.
-            eventlet.spawn_n(_run, address, check.done)
+            self._drop_expired(now_s)
+            # A separate task, because the calling one may be killed while others wait too.
+            eventlet.spawn_n(_run_check, address, check.done)
         state: ServerState = check.done.wait()
         return state
 
-    def _drop_old(self, now_s: float) -> None:
-        old = [address for address, check in self._checks.items() if now_s >= check.deadline_s]
-        for address in old:
+    def _drop_expired(self, now_s: float) -> None:
+        expired = [address for address, check in self._checks.items() if now_s >= check.deadline_s]
+        for address in expired:
             del self._checks[address]
 
 
-def _run(address: str, done: Event) -> None:
+def _run_check(address: str, done: Event) -> None:
     eventlet.sleep(CHECK_DELAY_S)
     host, _, port = address.rpartition(":")
     state = ServerState.SILENT
--- a/packages/router/src/myrtlehook_router/connection/clients.py
+++ b/packages/router/src/myrtlehook_router/connection/server_connections.py
@@ -1,8 +1,8 @@
-"""Kept connections to backend servers, with failures told apart by what they prove.
+"""Persistent connections to backend servers, with failures classified by how far a request got.
 
-A connection carries one request at a time. It is kept only after a whole answer that
-nothing followed, and is dropped when bytes arrive while it rests: they belong to no
-request.
+A connection carries one request at a time. It is kept only after a complete response that
+nothing followed. It is not reused if bytes arrive while it is idle, because they belong to
+no request.
 """
 
 import contextlib
@@ -26,29 +26,29 @@
 from myrtlehook_router.process import clocks
 
 CONNECT_TIMEOUT_S = 1.0
-IDLE_S = 8.0
-"""A rested connection is dropped after this long, unless its server allows less."""
+IDLE_TIMEOUT_S = 8.0
+"""An idle connection is closed after this long, or earlier if its server asks for that."""
 
 IDLE_MARGIN_S = 1.0
-"""A server closes rested connections after a time it names; ours end this much before."""
+"""Connections expire this long before the Keep-Alive timeout that their server announces."""
 
-UNSENT_TIMEOUT_MS = 4000
-"""Bytes that nobody acknowledges for this long end a connection."""
+UNACKNOWLEDGED_TIMEOUT_MS = 4000
+"""A connection fails once sent bytes have been unacknowledged for this long."""
 
 _select = patcher.original("select")
-_ERRORS = (HTTPError, HTTPException, OSError, EOFError, ValueError)
-"""What urllib3, http.client and sockets raise for broken connections and answers."""
+_CONNECTION_ERRORS = (HTTPError, HTTPException, OSError, EOFError, ValueError)
+"""What urllib3, http.client and sockets raise for broken connections and responses."""
 
 Answered = TypeVar("Answered")
-_NODELAY: list[tuple[int, int, int | bytes]] = [
+_SOCKET_OPTIONS: list[tuple[int, int, int | bytes]] = [
     (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
-    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNSENT_TIMEOUT_MS),
+    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_TIMEOUT_MS),
 ]
 
 
 @dataclass(frozen=True, slots=True)
 class OutgoingRequest:
-    """One request to a backend server; ``address`` is an IP number and a port."""
+    """One request to a backend server; ``address`` is an IP address and a port."""
 
     method: str
     address: str
@@ -58,25 +58,25 @@
 
 
 @dataclass(slots=True)
-class _Rested:
+class _IdleConnection:
     connection: HTTPConnection
     deadline_s: float
 
 
 @dataclass(slots=True)
-class ClientPool:
-    """The rested connections of one process, by address."""
+class ConnectionPool:
+    """The idle connections of one process, by server address."""
 
-    rested: dict[str, deque[_Rested]] = field(default_factory=dict)
-    opened: int = 0
-    """Connections opened so far."""
+    idle_by_address: dict[str, deque[_IdleConnection]] = field(default_factory=dict)
+    opened_count: int = 0
+    """The number of connections opened so far."""
 
 
-class ResetTellingSocket(GreenSocket):
-    """A socket that tells a reset from a proper end.
+class ResetDetectingSocket(GreenSocket):
+    """A socket that distinguishes a reset from a regular end of stream.
 
-    eventlet's own sockets return no bytes for both, and an answer without a length
-    that was reset would look complete.
+    eventlet's own sockets return no bytes for both, so a response without a length
+    would look complete after a reset.
     """
 
     def _recv_loop(self, recv_method: Any, empty_value: Any, *arguments: Any) -> Any:
@@ -84,7 +84,7 @@
             try:
                 return recv_method(*given)
             except ConnectionError as error:
-                # Not an OSError, which eventlet would take for an end.
+                # Not an OSError: eventlet would treat that as the end of the stream.
                 raise IncompleteRead(b"") from error
 
         return super()._recv_loop(receive, empty_value, *arguments)
@@ -96,58 +96,64 @@
     def _new_conn(self) -> socket.socket:
         opened = super()._new_conn()
         if isinstance(opened, GreenSocket):
-            opened.__class__ = ResetTellingSocket
+            opened.__class__ = ResetDetectingSocket
         return opened
 
 
 class Exchange:
-    """One request on its connection, from sending to the end of its answer."""
+    """One request on its connection, from sending it to the end of its response."""
 
-    def __init__(self, pool: ClientPool, request: OutgoingRequest) -> None:
+    def __init__(self, pool: ConnectionPool, request: OutgoingRequest) -> None:
         self._pool = pool
         self._request = request
         self._connection: HTTPConnection | None = None
         self._socket: Any = None
-        """Kept beside the connection, which lets go of it when the answer says close."""
+        """Kept separately: the connection drops it when the response says ``Connection: close``."""
         self._response: urllib3.HTTPResponse | None = None
         self._done = False
         self._reading = False
         self.aborted = False
 
-    def send(self, deadline_s: float, fresh: bool) -> Result[urllib3.HTTPResponse, SendFailure]:
-        """Send the request and read its answer's head.
+    def send(
+        self, deadline_s: float, fresh_connection: bool
+    ) -> Result[urllib3.HTTPResponse, SendFailure]:
+        """Send the request and read the head of its response.
 
-        :param fresh: never take a rested connection: the server may be closing it just now.
+        :param fresh_connection: open a new connection, as the server may be closing an idle one.
         """
-        connection = None if fresh else _take_rested(self._pool, self._request.address)
+        connection = (
+            None
+            if fresh_connection
+            else _acquire_idle_connection(self._pool, self._request.address)
+        )
         if connection is None:
-            connection = _open(self._pool, self._request.address, deadline_s)
+            connection = _open_connection(self._pool, self._request.address, deadline_s)
             if connection is None or self.aborted:
                 return Err(SendFailure.NOT_SENT)
         self._connection = connection
         self._socket = connection.sock
-        answered = self._guarded(lambda: self._request_answer(connection, deadline_s))
+        answered = self._run_guarded(lambda: self._send_and_read_head(connection, deadline_s))
         if isinstance(answered, Err):
             return answered
         self._response = answered.ok_value
         return answered
 
     def read_some(self, size_bytes: int, deadline_s: float) -> Result[bytes, SendFailure]:
-        """Read what has arrived of the body; empty bytes are its proper end."""
+        """Read what has arrived of the body; empty bytes mark its regular end."""
         if self.aborted:
             return Err(SendFailure.BROKEN)
         if self._done:
             return Ok(b"")
-        read = self._guarded(lambda: self._read_piece(size_bytes, deadline_s))
+        read = self._run_guarded(lambda: self._read_piece(size_bytes, deadline_s))
         if isinstance(read, Ok) and not read.ok_value:
-            self._finish()
+            self._release_connection()
         return read
 
-    def _request_answer(
+    def _send_and_read_head(
         self, connection: HTTPConnection, deadline_s: float
     ) -> urllib3.HTTPResponse:
         _set_timeout(connection, self._socket, deadline_s)
-        _send_on(connection, self._request)
+        _send_request(connection, self._request)
         return connection.getresponse()
 
     def _read_piece(self, size_bytes: int, deadline_s: float) -> bytes:
@@ -155,8 +161,8 @@
         _set_timeout(self._connection, self._socket, deadline_s)
         return self._response.read1(size_bytes)
 
-    def _guarded(self, work: Callable[[], Answered]) -> Result[Answered, SendFailure]:
-        """Do work on the connection; whatever breaks it ends the exchange."""
+    def _run_guarded(self, work: Callable[[], Answered]) -> Result[Answered, SendFailure]:
+        """Run ``work`` on the connection; any connection error ends the exchange."""
         self._reading = True
         failure = SendFailure.BROKEN
         try:
@@ -165,7 +171,7 @@
                 return Ok(answered)
         except (TimeoutError, ReadTimeoutError):
             failure = SendFailure.TIMED_OUT
-        except _ERRORS:
+        except _CONNECTION_ERRORS:
             pass
         finally:
             self._reading = False
@@ -174,10 +180,10 @@
         return Err(failure)
 
     def abort(self) -> None:
-        """End the exchange; a task that reads from it finds it broken at once.
+        """End the exchange; a task that is reading from it fails at once.
 
-        The connection is only shut down here while another task reads from it: that
-        task's buffer must not be closed under it.
+        While another task is reading, the connection is only shut down here and closed by
+        that task, because its read buffer must not be closed while it is in use.
         """
         if self._done:
             return
@@ -195,54 +201,58 @@
         if self._response is not None:
             self._response.close()
 
-    def _finish(self) -> None:
-        """Keep the connection for the next request if this one left it clean."""
+    def _release_connection(self) -> None:
+        """Keep the connection for the next request if it is reusable."""
         self._done = True
         assert self._connection is not None and self._response is not None
-        keep_s = _keep_s(self._response)
-        if keep_s <= 0 or self._connection.sock is None or _has_bytes(self._connection):
+        idle_timeout_s = _compute_idle_timeout_s(self._response)
+        if idle_timeout_s <= 0 or self._connection.sock is None or _is_readable(self._connection):
             self._connection.close()
             return
-        rested = self._pool.rested.setdefault(self._request.address, deque())
-        rested.append(_Rested(self._connection, clocks.now_s() + keep_s))
+        idle = self._pool.idle_by_address.setdefault(self._request.address, deque())
+        idle.append(_IdleConnection(self._connection, clocks.now_s() + idle_timeout_s))
 
 
-def drop_rested(pool: ClientPool, is_known: Callable[[str], bool]) -> None:
-    """Close connections that rested too long, or whose address serves nothing any more."""
+def close_expired_connections(pool: ConnectionPool, is_known: Callable[[str], bool]) -> None:
+    """Close idle connections that have expired or whose address is no longer known."""
     now_s = clocks.now_s()
-    for address, rested in list(pool.rested.items()):
-        while rested and (now_s >= rested[0].deadline_s or not is_known(address)):
-            rested.popleft().connection.close()
-        if not rested:
-            del pool.rested[address]
-
-
-def _take_rested(pool: ClientPool, address: str) -> HTTPConnection | None:
-    rested = pool.rested.get(address)
-    while rested:
-        # The one used last is the least likely to be closed by its server.
-        taken = rested.pop()
-        usable = taken.connection.sock is not None and clocks.now_s() < taken.deadline_s
-        if usable and not _has_bytes(taken.connection):
-            return taken.connection
-        taken.connection.close()
+    for address, idle in list(pool.idle_by_address.items()):
+        while idle and (now_s >= idle[0].deadline_s or not is_known(address)):
+            idle.popleft().connection.close()
+        if not idle:
+            del pool.idle_by_address[address]
+
+
+def _acquire_idle_connection(pool: ConnectionPool, address: str) -> HTTPConnection | None:
+    idle = pool.idle_by_address.get(address)
+    while idle:
+        # The most recently used one is the least likely to be closed by its server.
+        candidate = idle.pop()
+        usable = candidate.connection.sock is not None and clocks.now_s() < candidate.deadline_s
+        if usable and not _is_readable(candidate.connection):
+            return candidate.connection
+        candidate.connection.close()
     return None
 
 
-def _open(pool: ClientPool, address: str, deadline_s: float) -> HTTPConnection | None:
+def _open_connection(
+    pool: ConnectionPool, address: str, deadline_s: float
+) -> HTTPConnection | None:
     host, _, port = address.rpartition(":")
     timeout_s = max(min(CONNECT_TIMEOUT_S, deadline_s - clocks.now_s()), 0.001)
-    connection = ServerConnection(host, int(port), timeout=timeout_s, socket_options=_NODELAY)
+    connection = ServerConnection(
+        host, int(port), timeout=timeout_s, socket_options=_SOCKET_OPTIONS
+    )
     try:
         connection.connect()
-    except _ERRORS:
+    except _CONNECTION_ERRORS:
         connection.close()
         return None
-    pool.opened += 1
+    pool.opened_count += 1
     return connection
 
 
-def _send_on(connection: HTTPConnection, request: OutgoingRequest) -> None:
+def _send_request(connection: HTTPConnection, request: OutgoingRequest) -> None:
     headers = HTTPHeaderDict(request.headers)
     if "User-Agent" not in headers:
         headers["User-Agent"] = SKIP_HEADER
@@ -263,8 +273,8 @@
     sock.settimeout(remaining_s)
 
 
-def _has_bytes(connection: HTTPConnection) -> bool:
-    """Tell whether anything, an end included, has arrived on a rested connection."""
+def _is_readable(connection: HTTPConnection) -> bool:
+    """Return whether bytes or an end of stream have arrived on an idle connection."""
     sock: Any = connection.sock
     if sock is None:
         return True
@@ -273,8 +283,8 @@
     return bool(poller.poll(0))
 
 
-def _keep_s(response: urllib3.HTTPResponse) -> float:
-    """Return how long the connection may rest after this answer; 0 when it is to close."""
+def _compute_idle_timeout_s(response: urllib3.HTTPResponse) -> float:
+    """Return how long the connection may stay idle after this response; 0 if it must close."""
     if "close" in response.headers.get("Connection", "").lower():
         return 0.0
     framed = "Content-Length" in response.headers or "Transfer-Encoding" in response.headers
@@ -283,5 +293,5 @@
     for item in response.headers.get("Keep-Alive", "").split(","):
         name, _, value = item.strip().partition("=")
         if name.lower() == "timeout" and value.isdigit():
-            return min(IDLE_S, int(value) - IDLE_MARGIN_S)
-    return IDLE_S
+            return min(IDLE_TIMEOUT_S, int(value) - IDLE_MARGIN_S)
+    return IDLE_TIMEOUT_S
--- a/packages/router/src/myrtlehook_router/connection/splices.py
+++ b/packages/router/src/myrtlehook_router/connection/splices.py
@@ -1,7 +1,7 @@
-"""Two connections whose bytes are copied from one to the other until either ends.
+"""Relays bytes between two connections until either of them ends.
 
-A busy router copies many of them, so they have no tasks of their own: the event loop
-calls back when bytes have arrived, and they are sent on in that call.
+A busy router relays many connections, so they have no tasks of their own: the event loop
+calls back when bytes have arrived, and they are forwarded in that call.
 """
 
 import contextlib
@@ -18,53 +18,57 @@
 
 
 @dataclass(slots=True)
-class End:
-    """One of the two connections."""
+class SpliceEnd:
+    """One of the two connections of a splice."""
 
     connection: Any
-    """Does not block."""
+    """A non-blocking socket."""
     reader: Any = None
-    """The event loop's listener for bytes that arrive, while there is one."""
+    """The event loop's listener for incoming bytes, while there is one."""
     writer: Any = None
     unsent: bytes = b""
-    """Bytes for this connection that it has not taken yet."""
+    """Bytes that could not be written to this connection yet."""
 
 
 class Splice:
-    """A caller's connection and the one to the router that serves it."""
+    """A client's connection, joined to the one to the router that serves it."""
 
-    def __init__(self, caller: Any, helper: Any, on_end: Callable[[], None]) -> None:
-        """Prepare a splice of two connections that do not block.
+    def __init__(self, caller: Any, neighbour: Any, on_end: Callable[[], None]) -> None:
+        """Prepare to join two non-blocking connections.
 
         :param on_end: called once, when both are closed.
         """
-        self._caller = End(caller)
-        self._helper = End(helper)
+        self._caller = SpliceEnd(caller)
+        self._neighbour = SpliceEnd(neighbour)
         self._on_end = on_end
         self._ended = False
         self.carries_request = False
-        """Whether anything of a request has been sent on."""
+        """Whether any byte from the client has been received for forwarding."""
 
     def start(self) -> None:
-        """Copy bytes from now on."""
+        """Start to relay bytes in both directions."""
         self._read_from(self._caller)
-        self._read_from(self._helper)
+        self._read_from(self._neighbour)
 
     def abort(self) -> None:
-        """End both connections in a way that no answer on them looks complete."""
+        """Close both connections, the client's by a reset: no response must look complete."""
         if self._ended:
             return
         option = (_socket.SOL_SOCKET, _socket.SO_LINGER, _RESET_ON_CLOSE)
         with contextlib.suppress(OSError):
             self._caller.connection.setsockopt(*option)
-        self._end()
+        self._close()
 
-    def _read_from(self, end: End) -> None:
+    def _read_from(self, end: SpliceEnd) -> None:
         end.reader = hubs.get_hub().add(
-            hubs.hub.READ, end.connection.fileno(), lambda _: self._take(end), _ignore, _ignore_none
+            hubs.hub.READ,
+            end.connection.fileno(),
+            lambda _: self._receive(end),
+            _ignore_closed,
+            _ignore_reused,
         )
 
-    def _take(self, end: End) -> None:
+    def _receive(self, end: SpliceEnd) -> None:
         if self._ended:
             return
         try:
@@ -75,13 +79,13 @@
             self.abort()
             return
         if not piece:
-            self._end()
+            self._close()
             return
         if end is self._caller:
             self.carries_request = True
-        self._send(self._other(end), piece)
+        self._send(self._get_other_end(end), piece)
 
-    def _send(self, end: End, piece: bytes) -> None:
+    def _send(self, end: SpliceEnd, piece: bytes) -> None:
         try:
             sent = end.connection.send(piece)
         except BlockingIOError:
@@ -91,34 +95,34 @@
             return
         if sent == len(piece):
             return
-        # Nothing more is read for a connection that takes nothing.
+        # Back pressure: nothing more is read from the other end until this has been sent.
         end.unsent = piece[sent:]
-        source = self._other(end)
+        source = self._get_other_end(end)
         hubs.get_hub().remove(source.reader)
         source.reader = None
         end.writer = hubs.get_hub().add(
             hubs.hub.WRITE,
             end.connection.fileno(),
-            lambda _: self._retry(end),
-            _ignore,
-            _ignore_none,
+            lambda _: self._send_unsent(end),
+            _ignore_closed,
+            _ignore_reused,
         )
 
-    def _retry(self, end: End) -> None:
+    def _send_unsent(self, end: SpliceEnd) -> None:
         if self._ended:
             return
         hubs.get_hub().remove(end.writer)
         end.writer = None
         piece, end.unsent = end.unsent, b""
-        self._read_from(self._other(end))
+        self._read_from(self._get_other_end(end))
         self._send(end, piece)
 
-    def _other(self, end: End) -> End:
-        return self._helper if end is self._caller else self._caller
+    def _get_other_end(self, end: SpliceEnd) -> SpliceEnd:
+        return self._neighbour if end is self._caller else self._caller
 
-    def _end(self) -> None:
+    def _close(self) -> None:
         self._ended = True
-        for end in (self._caller, self._helper):
+        for end in (self._caller, self._neighbour):
             for listener in (end.reader, end.writer):
                 if listener is not None:
                     hubs.get_hub().remove(listener)
@@ -126,9 +130,9 @@
         self._on_end()
 
 
-def _ignore(error: BaseException) -> None:
-    """Take the loop's word that a descriptor was closed; nothing waits on it here."""
+def _ignore_closed(error: BaseException) -> None:
+    """Ignore the event loop's notice that a descriptor was closed; no task waits for it."""
 
 
-def _ignore_none() -> None:
-    """Take the loop's word that a descriptor is used anew."""
+def _ignore_reused() -> None:
+    """Ignore the event loop's notice that a descriptor number is in use again."""
--- a/packages/router/src/myrtlehook_router/connection/watches.py
+++ b/packages/router/src/myrtlehook_router/connection/watches.py
@@ -1,4 +1,4 @@
-"""Notices at once that a caller has closed its connection while it waits for an answer."""
+"""Detects at once that a client closes its connection while it waits for a response."""
 
 import socket
 from collections.abc import Callable
@@ -9,12 +9,12 @@
 
 from myrtlehook_router.request.callers import connection_has_gone
 
-RECHECK_S = 0.05
-"""How often a connection is looked at that holds bytes of the caller's next request."""
+RECHECK_INTERVAL_S = 0.05
+"""The interval between checks of a connection that holds bytes of the client's next request."""
 
 
 class CallerWatch:
-    """Watches one connection between a request's last byte and its answer's end."""
+    """Watches a connection from the end of a request to the end of its response."""
 
     def __init__(self, connection: Any, on_gone: Callable[[], None]) -> None:
         self._connection = connection
@@ -22,7 +22,7 @@
         self._thread = eventlet.spawn(self._run)
 
     def stop(self) -> None:
-        """End the watch; the connection may be read again afterwards."""
+        """Stop watching; the connection may be read again afterwards."""
         self._thread.kill()
 
     def _run(self) -> None:
@@ -39,5 +39,5 @@
         if not seen:
             return True
         while not connection_has_gone(self._connection):
-            eventlet.sleep(RECHECK_S)
+            eventlet.sleep(RECHECK_INTERVAL_S)
         return True
--- a/packages/router/src/myrtlehook_router/process/caller_servers.py
+++ b/packages/router/src/myrtlehook_router/process/caller_servers.py
@@ -8,11 +8,11 @@
 from eventlet import hubs, wsgi
 
 from myrtlehook_core import CoreOptions, EntryLimits, Listener, passes_on
-from myrtlehook_router.connection.entrances import Entrance
 from myrtlehook_router.connection.heads import make_strict_protocol
-from myrtlehook_router.connection.listeners import PacedListener, open_listener, silent_log
-from myrtlehook_router.connection.passed import make_passed_protocol
-from myrtlehook_router.connection.passing import Passer
+from myrtlehook_router.connection.ingress_listeners import IngressListener
+from myrtlehook_router.connection.listeners import PacedListener, get_silent_logger, open_listener
+from myrtlehook_router.connection.neighbour_protocols import make_neighbour_protocol
+from myrtlehook_router.connection.passing import ConnectionPasser
 from myrtlehook_router.process.busy_meters import BusyMeter
 from myrtlehook_router.process.counters import Counters
 from myrtlehook_router.process.tasks import guard
@@ -47,7 +47,7 @@
 class CallerServer:
     """The listeners for callers, and the bound on connections that they share."""
 
-    def __init__(self, services: CallerServices, passer: Passer | None) -> None:
+    def __init__(self, services: CallerServices, passer: ConnectionPasser | None) -> None:
         """Prepare to serve.
 
         :param passer: None where neighbours neither help nor are helped.
@@ -60,7 +60,9 @@
     def serve(self, listener: Any) -> None:
         """Serve callers at a listening socket; the loop of this task."""
         self.meter.watch(hubs.get_hub())
-        entrance = Entrance(PacedListener(listener), self._passer, self._passes_on, self._has_room)
+        entrance = IngressListener(
+            PacedListener(listener), self._passer, self._passes_on, self._has_room
+        )
         eventlet.spawn(guard, entrance.accept_forever)
         protocol = make_strict_protocol(
             self._services.limits, self._is_closing, self._services.counters
@@ -71,7 +73,7 @@
         """Serve callers whose connections neighbours pass on; the loop of this task."""
         services = self._services
         one_request = make_strict_protocol(services.limits, lambda: True, services.counters)
-        protocol = make_passed_protocol(
+        protocol = make_neighbour_protocol(
             one_request, services.router_id, services.fleet_key, self._takes, services.counters
         )
         self._run(PacedListener(open_listener(listener)), protocol)
@@ -80,7 +82,7 @@
         wsgi.server(
             listener,
             self._services.application,
-            log=silent_log(),
+            log=get_silent_logger(),
             log_output=False,
             debug=False,
             protocol=protocol,
--- a/packages/router/src/myrtlehook_router/process/daemons.py
+++ b/packages/router/src/myrtlehook_router/process/daemons.py
@@ -9,7 +9,7 @@
 
 from myrtlehook_core import MemberState, RouterCore, RouterIdentity, Settings, core_options, events
 from myrtlehook_router.connection.listeners import serve_http
-from myrtlehook_router.connection.platforms import Platform
+from myrtlehook_router.connection.platforms import PlatformClient
 from myrtlehook_router.process import clocks
 from myrtlehook_router.process.core_tasks import CoreTask
 from myrtlehook_router.process.counters import Counters
@@ -47,7 +47,7 @@
         self._peers = PeerSockets(
             settings.vm, settings.peers, settings.fleet_key, incarnation, self._counters
         )
-        self._platform = Platform(settings.platform, self._counters)
+        self._platform = PlatformClient(settings.platform, self._counters)
         self._core_task = self._make_core_task(incarnation)
 
     def run(self) -> None:
--- a/packages/router/src/myrtlehook_router/process/gateway_daemons.py
+++ b/packages/router/src/myrtlehook_router/process/gateway_daemons.py
@@ -22,9 +22,12 @@
     count_held,
     events,
 )
-from myrtlehook_router.connection.clients import ClientPool, drop_rested
-from myrtlehook_router.connection.listeners import adopt_listener, open_listener, silent_log
-from myrtlehook_router.connection.passing import Passer, PassingPlaces
+from myrtlehook_router.connection.listeners import adopt_listener, get_silent_logger, open_listener
+from myrtlehook_router.connection.passing import ConnectionPasser, PassingConfig
+from myrtlehook_router.connection.server_connections import (
+    ConnectionPool,
+    close_expired_connections,
+)
 from myrtlehook_router.process import clocks
 from myrtlehook_router.process.caller_servers import CallerServer, CallerServices
 from myrtlehook_router.process.core_tasks import CoreTask
@@ -101,7 +104,7 @@
         )
         self._mailbox = Mailbox()
         self._tickets = TicketBook()
-        self._clients = ClientPool()
+        self._clients = ConnectionPool()
         self._shedding = Shedding()
         self._refusal_sums = RefusalSums()
         peers = settings.peers
@@ -217,12 +220,12 @@
         )
         return CallerServer(services, self._passer)
 
-    def _make_passer(self) -> Passer | None:
+    def _make_passer(self) -> ConnectionPasser | None:
         settings = self._settings
         if settings.helping is None or not settings.options.passes_connections:
             return None
-        places = PassingPlaces(self._router_id, settings.fleet_key, settings.helping.port)
-        return Passer(places, self._core_task.core.table, random.random, self._counters)
+        places = PassingConfig(self._router_id, settings.fleet_key, settings.helping.port)
+        return ConnectionPasser(places, self._core_task.core.table, random.random, self._counters)
 
     def _serve_callers(self) -> None:
         opened = self._opened
@@ -236,7 +239,7 @@
         while True:
             eventlet.sleep(NEIGHBOUR_CHECK_S)
             if self._passer is not None:
-                self._passer.drop_dead()
+                self._passer.abort_dead_neighbours()
 
     def _limits(self) -> EntryLimits:
         return self._core_task.configuration.limits
@@ -256,7 +259,7 @@
             "routers_alive": sum(
                 member.state is MemberState.ALIVE for member in core.table.members.values()
             ),
-            "backend_connections_opened": self._clients.opened,
+            "backend_connections_opened": self._clients.opened_count,
             "shed_part": self._shedding.refused_fraction,
             "quarantined_requests": count_held(core.quarantine, clocks.now_s()),
             "reads_source": float(self._reading.wanted),
@@ -282,7 +285,7 @@
             eventlet.sleep(SWEEP_INTERVAL_S)
             servers = self._core_task.configuration.backend_servers.values()
             known = {server.address for server in servers}
-            drop_rested(self._clients, known.__contains__)
+            close_expired_connections(self._clients, known.__contains__)
 
     def _on_stop(self, number: int, frame: object) -> None:
         self._draining = True
@@ -339,7 +342,7 @@
     wsgi.server(
         open_listener(address),
         application,
-        log=silent_log(),
+        log=get_silent_logger(),
         log_output=False,
         debug=False,
         protocol=READY_PROTOCOL,
--- a/packages/router/src/myrtlehook_router/process/operators.py
+++ b/packages/router/src/myrtlehook_router/process/operators.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from myrtlehook_core import describe_router
-from myrtlehook_router.connection.platforms import Platform
+from myrtlehook_router.connection.platforms import PlatformClient
 from myrtlehook_router.process import clocks
 from myrtlehook_router.process.core_tasks import CoreTask
 from myrtlehook_router.process.counters import Counters
@@ -40,7 +40,7 @@
     core_task: CoreTask
     counters: Counters
     peers: PeerSockets
-    platform: Platform
+    platform: PlatformClient
     is_ready: Callable[[], bool]
     cut_allowed: bool
 
--- a/packages/router/src/myrtlehook_router/request/attempts.py
+++ b/packages/router/src/myrtlehook_router/request/attempts.py
@@ -5,7 +5,7 @@
 
 from myrtlehook_core import BackendServer, RetryReason
 from myrtlehook_router.connection.backends import SendFailure
-from myrtlehook_router.connection.clients import Exchange, OutgoingRequest
+from myrtlehook_router.connection.server_connections import Exchange, OutgoingRequest
 from myrtlehook_router.process import clocks
 from myrtlehook_router.request.headers import find_header, keep_end_to_end, router_only
 from myrtlehook_router.request.relays import (
@@ -39,7 +39,7 @@
         return Err(RetryReason.CONNECT_FAILED)
     route = relay.request.route
     patience_s = max(FIRST_BYTE_AIMS * route.aim_s, FIRST_BYTE_S)
-    sent = exchange.send(read_deadline_s(relay, patience_s), fresh=False)
+    sent = exchange.send(read_deadline_s(relay, patience_s), fresh_connection=False)
     if isinstance(sent, Err):
         if sent.err_value is SendFailure.NOT_SENT:
             return Err(RetryReason.CONNECT_FAILED)
--- a/packages/router/src/myrtlehook_router/request/chats.py
+++ b/packages/router/src/myrtlehook_router/request/chats.py
@@ -22,8 +22,8 @@
 from myrtlehook_router.connection.runs import (
     EngineRun,
     StreamLostError,
+    compute_read_timeout_s,
     deliver_events,
-    read_timeout_s,
     stop_run,
 )
 from myrtlehook_router.process import clocks
@@ -193,7 +193,7 @@
         order = _make_order(chat, dispatch.attempt, dispatch.priority_units)
         sent_at_s = clocks.now_s()
         note_head = _make_note_head(chat, dispatch.backend_server)
-        started = start_run(address, order, read_timeout_s(deadline_s), note_head)
+        started = start_run(address, order, compute_read_timeout_s(deadline_s), note_head)
         if isinstance(started, Err) and started.err_value is StartFailure.LEAVING:
             note_leaving(place.services, chat.request_id, dispatch.backend_server)
         if isinstance(started, Err) and started.err_value is not StartFailure.UNKNOWN:
@@ -205,11 +205,11 @@
             deadline_s=deadline_s,
             # The engine may have begun; its stream can still be had if it did.
             response=started.ok_value if isinstance(started, Ok) else None,
-            count=place.services.counters.add,
-            note_broken=partial(note_broken_run, place, dispatch.backend_server, sent_at_s),
+            add_to_counter=place.services.counters.add,
+            check_engine=partial(note_broken_run, place, dispatch.backend_server, sent_at_s),
         )
         if run.response is None:
-            run.note_broken()
+            run.check_engine()
         return Ok(run)
 
 
--- a/packages/router/src/myrtlehook_router/request/gateways.py
+++ b/packages/router/src/myrtlehook_router/request/gateways.py
@@ -20,7 +20,7 @@
     fingerprint_request,
     should_shed,
 )
-from myrtlehook_router.connection.clients import ClientPool
+from myrtlehook_router.connection.server_connections import ConnectionPool
 from myrtlehook_router.connection.watches import CallerWatch
 from myrtlehook_router.process import clocks
 from myrtlehook_router.process.logs import get_logger
@@ -53,7 +53,7 @@
 
     requests: RequestServices
     names: HeaderNames
-    clients: ClientPool
+    clients: ConnectionPool
 
 
 class WatchedBody:
--- a/packages/router/src/myrtlehook_router/request/relays.py
+++ b/packages/router/src/myrtlehook_router/request/relays.py
@@ -6,7 +6,7 @@
 
 from myrtlehook_core import Outcome, RefusalReason, RetryReason, find_share_tokens
 from myrtlehook_router.connection.backends import SendFailure
-from myrtlehook_router.connection.clients import ClientPool, Exchange
+from myrtlehook_router.connection.server_connections import ConnectionPool, Exchange
 from myrtlehook_router.process import clocks
 from myrtlehook_router.process.logs import get_logger
 from myrtlehook_router.request.broken_runs import note_broken_run
@@ -40,7 +40,7 @@
     place: Place
     body: bytes
     names: HeaderNames
-    clients: ClientPool
+    clients: ConnectionPool
     prompt_tokens: int = 0
     event_tokens: int = 1
     output_tokens: int = 0
--- a/tests/steps/entrance_steps.py
+++ b/tests/steps/entrance_steps.py
@@ -7,7 +7,7 @@
 import eventlet
 from behave import then, when
 
-from myrtlehook_router.connection.entrances import Entrance
+from myrtlehook_router.connection.ingress_listeners import IngressListener
 from myrtlehook_router.connection.listeners import BACKLOG, PacedListener
 from myrtlehook_router.connection.passing import Accepted
 
@@ -40,7 +40,7 @@
     passer = TakingPasser()
     clock = itertools.count(0.0, CLOCK_STEP_S)
     paced = PacedListener(listener, lambda: next(clock))
-    entrance: Any = Entrance(paced, passer, lambda: True, lambda: True)  # type: ignore[arg-type]
+    entrance: Any = IngressListener(paced, passer, lambda: True, lambda: True)  # type: ignore[arg-type]
     context.accepted_by_turn = [0]
 
     def take_turns() -> None:
--- a/tests/steps/passer_steps.py
+++ b/tests/steps/passer_steps.py
@@ -21,8 +21,8 @@
 )
 from myrtlehook_core.process.members import apply_member_row
 from myrtlehook_core.process.membership_messages import Announcement, MemberRow, News
-from myrtlehook_router.connection.introductions import TAKEN
-from myrtlehook_router.connection.passing import VERDICT_TIMEOUT_S, Passer, PassingPlaces
+from myrtlehook_router.connection.introductions import VERDICT_ACCEPTED
+from myrtlehook_router.connection.passing import VERDICT_TIMEOUT_S, ConnectionPasser, PassingConfig
 from myrtlehook_router.process.counters import Counters
 
 NEIGHBOUR = "127.0.0.1:1"
@@ -54,11 +54,11 @@
 def _make_passer(context: Any) -> GreenSocket:
     """Make a passer with one neighbour; returns the listening socket of that one."""
     listener = eventlet.listen(("127.0.0.1", 0))
-    places = PassingPlaces("127.0.0.1:2", "key", listener.getsockname()[1])
+    places = PassingConfig("127.0.0.1:2", "key", listener.getsockname()[1])
     context.members = MemberTable(RouterIdentity("127.0.0.1:2", "", 1, "hall-1"), 1)
     _tell(context, MemberState.ALIVE, time.monotonic())
     context.counters = Counters(None)
-    context.passer = Passer(places, context.members, lambda: 0.5, context.counters)
+    context.passer = ConnectionPasser(places, context.members, lambda: 0.5, context.counters)
     return listener
 
 
@@ -70,7 +70,7 @@
         assert context.passer.pass_on(accepted, lambda _: None)
         context.helper, _ = listener.accept()
         assert context.helper.recv(256).endswith(b"\n"), "no introduction"
-        context.helper.sendall(TAKEN)
+        context.helper.sendall(VERDICT_ACCEPTED)
         context.caller.sendall(b"a request")
         assert context.helper.recv(256) == b"a request"
     listener.close()
@@ -79,13 +79,13 @@
 @when("the neighbour is taken for dead")
 def take_for_dead(context: Any) -> None:
     _tell(context, MemberState.DEAD, time.monotonic())
-    context.passer.drop_dead()
+    context.passer.abort_dead_neighbours()
 
 
 @when("the neighbour has been taken for dead for {seconds:d} seconds")
 def taken_for_dead(context: Any, seconds: int) -> None:
     _tell(context, MemberState.DEAD, time.monotonic() - seconds)
-    context.passer.drop_dead()
+    context.passer.abort_dead_neighbours()
 
 
 @when("the neighbour answers and ends the connection")
@@ -124,7 +124,7 @@
         assert helper.recv(256).endswith(b"\n"), "no introduction"
     # The loop of the router does not turn from here on until its time is over.
     _stand_still(wait_ms / 1000.0)
-    helper.sendall(TAKEN)
+    helper.sendall(VERDICT_ACCEPTED)
     context.helper = helper
     listener.close()
 
