--- a/packages/router/src/myrtlehook_router/process/__init__.py
+++ b/packages/router/src/myrtlehook_router/process/__init__.py
@@ -1,1 +1,1 @@
-"""What lives as long as the process: settings, logs, counters, tasks."""
+"""State with the lifetime of the router process: settings, logs, counters, tasks."""
--- a/packages/router/src/myrtlehook_router/process/busy_meters.py
+++ b/packages/router/src/myrtlehook_router/process/busy_meters.py
@@ -1,43 +1,43 @@
-"""How much of its time a process works: the part in which its event loop does not wait."""
+"""Measures the busy fraction of a process: the time in which its event loop does not wait."""
 
 from typing import Any
 
 from myrtlehook_router.process import clocks
 
-INTERVAL_S = 0.1
+MEASURE_INTERVAL_S = 0.1
 NEWEST_WEIGHT = 0.5
-"""Of the last interval against all earlier ones: half a second is remembered."""
+"""Weight of the newest interval in the moving average, which covers about half a second."""
 
 
 class BusyMeter:
     """Measures one event loop."""
 
     def __init__(self) -> None:
-        self.part = 0.0
-        """The part of the time in which the loop has worked lately, from 0 to 1."""
+        self.busy_fraction = 0.0
+        """Moving average of the fraction of time in which the loop worked, from 0 to 1."""
         self._waited_s = 0.0
-        self._began_s = 0.0
+        self._interval_began_s = 0.0
 
     def watch(self, hub: Any) -> None:
-        """Measure a loop of eventlet's from now on."""
+        """Start to measure the event loop of an eventlet hub."""
         poll = hub.do_poll
-        self._began_s = clocks.now_s()
+        self._interval_began_s = clocks.now_s()
 
         def measured_poll(seconds: float) -> Any:
             before_s = clocks.now_s()
             ready = poll(seconds)
-            self.note_wait(before_s, clocks.now_s())
+            self.record_wait(before_s, clocks.now_s())
             return ready
 
         hub.do_poll = measured_poll
 
-    def note_wait(self, before_s: float, after_s: float) -> None:
-        """Note that the loop had nothing to do for a time."""
+    def record_wait(self, before_s: float, after_s: float) -> None:
+        """Record a period in which the loop waited for events."""
         self._waited_s += after_s - before_s
-        elapsed_s = after_s - self._began_s
-        if elapsed_s < INTERVAL_S:
+        elapsed_s = after_s - self._interval_began_s
+        if elapsed_s < MEASURE_INTERVAL_S:
             return
         newest = min(max(1.0 - self._waited_s / elapsed_s, 0.0), 1.0)
-        self.part += NEWEST_WEIGHT * (newest - self.part)
+        self.busy_fraction += NEWEST_WEIGHT * (newest - self.busy_fraction)
         self._waited_s = 0.0
-        self._began_s = after_s
+        self._interval_began_s = after_s
--- a/packages/router/src/myrtlehook_router/process/caller_servers.py
+++ b/packages/router/src/myrtlehook_router/process/caller_servers.py
@@ -1,4 +1,4 @@
-"""Serves callers: those that connect here, and those whose connections neighbours pass on."""
+"""Serves clients that connect here, and clients whose connections neighbours pass on."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
@@ -15,70 +15,75 @@
 from myrtlehook_router.connection.passing import ConnectionPasser
 from myrtlehook_router.process.busy_meters import BusyMeter
 from myrtlehook_router.process.counters import Counters
-from myrtlehook_router.process.tasks import guard
+from myrtlehook_router.process.tasks import run_or_exit
 
-CROWDED_PART = 0.5
-"""Beyond this part of the connections that fit, each ends after its answer."""
+CROWDED_FRACTION = 0.5
+"""Above this fraction of the connection limit, connections close after each response."""
 
-DESCRIPTORS_PASSED = 2
-"""Of a connection that a neighbour serves: the caller's, and the one to the neighbour."""
+DESCRIPTORS_PER_PASSED_CONNECTION = 2
+"""Descriptors of a connection that a neighbour serves: the client's and the neighbour's."""
 
 Application = Callable[..., Iterable[bytes]]
 
 
 @dataclass(frozen=True, slots=True)
 class CallerServices:
-    """What serving callers needs from the process."""
+    """What a caller server needs from the process."""
 
     application: Application
     limits: Callable[[], EntryLimits]
     is_draining: Callable[[], bool]
     is_ready: Callable[[], bool]
     counters: Counters
-    most_connections: int
-    """That are served here."""
-    descriptors: int
-    """For connections that are served here, and two for each that a neighbour serves."""
+    max_connections: int
+    """Limit of the connections that are served here."""
+    max_descriptors: int
+    """Limit of file descriptors for clients' connections: one that is served here takes one,
+    one that a neighbour serves takes two."""
     router_id: str
     fleet_key: str
     options: CoreOptions
 
 
 class CallerServer:
-    """The listeners for callers, and the bound on connections that they share."""
+    """The listeners for clients, and the connection limit that they share."""
 
     def __init__(self, services: CallerServices, passer: ConnectionPasser | None) -> None:
         """Prepare to serve.
 
-        :param passer: None where neighbours neither help nor are helped.
+        :param passer: None if connections are not passed between neighbours.
         """
         self._services = services
         self._passer = passer
-        self._pool = eventlet.GreenPool(services.most_connections)
-        self.meter = BusyMeter()
+        self._pool = eventlet.GreenPool(services.max_connections)
+        self.busy_meter = BusyMeter()
 
     def serve(self, listener: Any) -> None:
-        """Serve callers at a listening socket; the loop of this task."""
-        self.meter.watch(hubs.get_hub())
-        entrance = IngressListener(
-            PacedListener(listener), self._passer, self._passes_on, self._has_room
+        """Serve clients on a listening socket; the loop of this task."""
+        self.busy_meter.watch(hubs.get_hub())
+        ingress_listener = IngressListener(
+            PacedListener(listener), self._passer, self._should_pass_on, self._has_free_descriptors
         )
-        eventlet.spawn(guard, entrance.accept_forever)
+        eventlet.spawn(run_or_exit, ingress_listener.accept_forever)
         protocol = make_strict_protocol(
-            self._services.limits, self._is_closing, self._services.counters
+            self._services.limits, self._should_close_connections, self._services.counters
         )
-        self._run(entrance, protocol)
+        self._run_server(ingress_listener, protocol)
 
     def serve_neighbours(self, listener: Listener) -> None:
-        """Serve callers whose connections neighbours pass on; the loop of this task."""
+        """Serve clients whose connections neighbours pass on; the loop of this task."""
         services = self._services
-        one_request = make_strict_protocol(services.limits, lambda: True, services.counters)
+        single_request = make_strict_protocol(services.limits, lambda: True, services.counters)
         protocol = make_neighbour_protocol(
-            one_request, services.router_id, services.fleet_key, self._takes, services.counters
+            single_request,
+            services.router_id,
+            services.fleet_key,
+            self._accepts_passed_connections,
+            services.counters,
         )
-        self._run(PacedListener(open_listener(listener)), protocol)
+        self._run_server(PacedListener(open_listener(listener)), protocol)
 
-    def _run(self, listener: Any, protocol: type) -> None:
+    def _run_server(self, listener: Any, protocol: type) -> None:
         wsgi.server(
             listener,
             self._services.application,
@@ -91,31 +96,37 @@
         )
 
     def _is_crowded(self) -> bool:
-        # A full pool takes no callers: resting connections must not fill it.
-        return self._pool.running() > CROWDED_PART * self._services.most_connections
+        # A full pool accepts no clients, so idle connections must not fill it.
+        return self._pool.running() > CROWDED_FRACTION * self._services.max_connections
 
-    def _is_closing(self) -> bool:
-        """Tell whether callers are to come back on new connections, which may be passed on."""
+    def _should_close_connections(self) -> bool:
+        """Return whether to close connections after the response.
+
+        Clients then open new connections, which can be passed on.
+        """
         busy = (
-            self._passer is not None and self.meter.part >= self._services.options.passing_all_part
+            self._passer is not None
+            and self.busy_meter.busy_fraction >= self._services.options.passing_all_part
         )
         return self._services.is_draining() or self._is_crowded() or busy
 
-    def _has_room(self) -> bool:
-        """Tell whether the descriptors suffice for another connection, passed on or not."""
+    def _has_free_descriptors(self) -> bool:
+        """Return whether there are descriptors for one more connection, passed on or not."""
         passed = 0 if self._passer is None else self._passer.count_connections()
-        used = self._pool.running() + DESCRIPTORS_PASSED * passed
-        return used + DESCRIPTORS_PASSED <= self._services.descriptors
+        used = self._pool.running() + DESCRIPTORS_PER_PASSED_CONNECTION * passed
+        return used + DESCRIPTORS_PER_PASSED_CONNECTION <= self._services.max_descriptors
 
-    def _passes_on(self) -> bool:
+    def _should_pass_on(self) -> bool:
         if self._passer is None or self._services.is_draining():
             return False
         options = self._services.options
-        return passes_on(self._passer.neighbours, options, self.meter.part, self._is_crowded())
+        return passes_on(
+            self._passer.neighbours, options, self.busy_meter.busy_fraction, self._is_crowded()
+        )
 
-    def _takes(self) -> bool:
-        """Tell whether a neighbour may be helped."""
+    def _accepts_passed_connections(self) -> bool:
+        """Return whether to accept connections that neighbours pass on."""
         if self._services.is_draining() or not self._services.is_ready():
             return False
-        is_spare = self.meter.part < self._services.options.helping_limit_part
-        return is_spare and not self._is_crowded()
+        has_capacity = self.busy_meter.busy_fraction < self._services.options.helping_limit_part
+        return has_capacity and not self._is_crowded()
--- a/packages/router/src/myrtlehook_router/process/clocks.py
+++ b/packages/router/src/myrtlehook_router/process/clocks.py
@@ -1,18 +1,18 @@
-"""The one clock of the process: steady, and counting the time in which the VM was suspended.
+"""The only clock of the process: steady, and including time in which the VM was suspended.
 
-Leases, deadlines and beliefs go by it. ``time.monotonic`` stands still while a VM is suspended:
-a router that woke would hold what has long expired. Timers of the event loop do stand still;
-they only ever wake a task, which then asks this clock.
+Leases, deadlines and the age of known state are measured with it. ``time.monotonic`` stops while
+a VM is suspended, so a resumed router would go by state that has long expired. Timers of the event
+loop do stop during a suspension, but they only wake a task, which then reads this clock.
 """
 
 import time
 
 COUNTS_SUSPENSION = hasattr(time, "CLOCK_BOOTTIME")
-"""False where the system has no such clock; then a suspended time is not noticed."""
+"""False on systems without such a clock, where a suspension goes unnoticed."""
 
 _CLOCK = time.CLOCK_BOOTTIME if COUNTS_SUSPENSION else time.CLOCK_MONOTONIC
 
 
 def now_s() -> float:
-    """Return the time, in seconds from some moment before the process began."""
+    """Return the time, in seconds since an arbitrary moment before the process started."""
     return time.clock_gettime(_CLOCK)
--- a/packages/router/src/myrtlehook_router/process/core_tasks.py
+++ b/packages/router/src/myrtlehook_router/process/core_tasks.py
@@ -1,4 +1,4 @@
-"""The task that owns the decision core and carries out what it asks."""
+"""The task that owns the decision core: feeds it events and executes the actions it returns."""
 
 import time
 from collections.abc import Callable
@@ -26,25 +26,26 @@
 
 BUSY_TICK_S = 0.02
 IDLE_TICK_S = 0.05
-"""While nothing waits here, only probes and leases need the time."""
+"""Applies while no request is queued here: only probes and leases then depend on the tick."""
 
-SHORTEST_TURN_S = 0.002
-"""Grants that fall due are looked for no more often; an engine's step takes longer."""
+MIN_GRANT_CHECK_INTERVAL_S = 0.002
+"""Shortest time between two checks for due grants; a step of an engine takes longer."""
 
-EVENTS_PER_TURN = 200
-"""After so many events the messages they made go out and other tasks get their turn."""
+MAX_EVENTS_PER_TURN = 200
+"""After this many events, the messages they produced are sent and other tasks get to run."""
 
-FAULT_RETURN_S = 1.0
-"""When a caller whose request the core could not take may ask again."""
+FAULT_RETRY_AFTER_S = 1.0
+"""Retry delay given to the client of a request whose event raised an exception in the core."""
 
-OWN_EVENTS = (events.Tick, events.GrantsDue)
-"""No input of anybody: a core that fails at these is broken, and its process starts anew."""
+INTERNAL_EVENTS = (events.Tick, events.GrantsDue)
+"""Events without input from outside: a core that raises on these is broken, so the exception
+ends the process, which is then started again."""
 
 _log = get_logger("core")
 
 
 class CoreTask:
-    """Feeds events to the core, one at a time."""
+    """Feeds events to the core, one at a time, and executes the actions that it returns."""
 
     def __init__(
         self,
@@ -54,7 +55,7 @@
         read_part: Callable[[str], str | None],
         tickets: TicketRegistry,
         counters: Counters,
-        reading: ReadSwitch | None = None,
+        read_switch: ReadSwitch | None = None,
     ) -> None:
         self.core = core
         self._mailbox = mailbox
@@ -62,11 +63,11 @@
         self._read_part = read_part
         self._tickets = tickets
         self._counters = counters
-        self._reading = reading or ReadSwitch()
-        self._unsent: dict[tuple[str, str], list[actions.Message]] = {}
-        self._polling: set[str] = set()
+        self._read_switch = read_switch or ReadSwitch()
+        self._unsent_messages: dict[tuple[str, str], list[actions.Message]] = {}
+        self._polled_servers: set[str] = set()
         self.cpu_s = 0.0
-        """Processor time spent deciding and encoding, in seconds."""
+        """Processor time spent in the core and on encoding messages, in seconds."""
 
     @property
     def configuration(self) -> Configuration:
@@ -74,48 +75,49 @@
         return self.core.configuration
 
     def run_forever(self) -> None:
-        """Take events until the process ends; the loop of this task."""
+        """Handle events until the process ends; the loop of this task."""
         next_tick_s = clocks.now_s()
         while True:
             now_s = clocks.now_s()
-            due_s = max(self.core.find_next_grant_s(), now_s + SHORTEST_TURN_S)
-            event = self._mailbox.take(max(min(next_tick_s, due_s) - now_s, 0.0))
+            grants_due_s = max(self.core.find_next_grant_s(), now_s + MIN_GRANT_CHECK_INTERVAL_S)
+            event = self._mailbox.receive(max(min(next_tick_s, grants_due_s) - now_s, 0.0))
             started_s = time.thread_time()
-            self._take_turn(event)
+            self._run_turn(event)
             now_s = clocks.now_s()
-            if now_s >= due_s:
+            if now_s >= grants_due_s:
                 self._handle(events.GrantsDue())
             if now_s >= next_tick_s:
                 waiting = self.core.entry.queued_requests > 0
                 next_tick_s = now_s + (BUSY_TICK_S if waiting else IDLE_TICK_S)
                 self._handle(events.Tick())
-            self._flush()
+            self._send_unsent_messages()
             self.cpu_s += time.thread_time() - started_s
             eventlet.sleep(0)
 
-    def _take_turn(self, event: Event | None) -> None:
-        taken = 0
+    def _run_turn(self, event: Event | None) -> None:
+        handled_count = 0
         while event is not None:
             self._handle(event)
-            taken += 1
-            if taken >= EVENTS_PER_TURN:
+            handled_count += 1
+            if handled_count >= MAX_EVENTS_PER_TURN:
                 return
-            event = self._mailbox.take(0.0)
+            event = self._mailbox.receive(0.0)
 
     def _handle(self, event: Event) -> None:
         try:
-            done = self.core.handle(event, clocks.now_s())
+            returned = self.core.handle(event, clocks.now_s())
         except Exception:
-            if isinstance(event, OWN_EVENTS):
+            if isinstance(event, INTERNAL_EVENTS):
                 raise
-            # Whatever came from outside would end each router that gets it, one after another.
-            self._drop(event)
+            # If an event from outside ended the process, the same input would end every router
+            # that receives it, one after another.
+            self._drop_event(event)
             return
-        for action in done:
-            _CARRY_OUT[type(action)](self, action)
+        for action in returned:
+            _ACTION_HANDLERS[type(action)](self, action)
 
-    def _drop(self, event: Event) -> None:
-        """Go on without an event that the core could not take; a request is refused."""
+    def _drop_event(self, event: Event) -> None:
+        """Skip an event on which the core raised an exception; refuse it if it is a request."""
         kind = type(event).__name__
         if isinstance(event, events.MessageReceived):
             kind = type(event.message).__name__
@@ -123,10 +125,12 @@
         _log.exception("event dropped", kind=kind)
         if isinstance(event, events.RequestArrived):
             reason = RefusalReason.ROUTER_FAULT
-            self._decide(actions.Refuse(event.request.request_id, reason, FAULT_RETURN_S))
+            self._deliver_decision(
+                actions.Refuse(event.request.request_id, reason, FAULT_RETRY_AFTER_S)
+            )
 
-    def _flush(self) -> None:
-        unsent, self._unsent = self._unsent, {}
+    def _send_unsent_messages(self) -> None:
+        unsent, self._unsent_messages = self._unsent_messages, {}
         for (router_id, address), messages in unsent.items():
             self._peers.send(
                 router_id, address, tuple(messages), self.core.is_in_own_zone(router_id)
@@ -134,26 +138,28 @@
 
     # -- actions --------------------------------------------------------------------
 
-    def _decide(self, action: actions.Dispatch | actions.Refuse) -> None:
+    def _deliver_decision(self, action: actions.Dispatch | actions.Refuse) -> None:
         ticket = self._tickets.find(action.request_id)
         if ticket is not None:
             ticket.add_decision(action)
 
-    def _send(self, action: actions.Send) -> None:
-        self._unsent.setdefault((action.router_id, action.address), []).append(action.message)
+    def _queue_message(self, action: actions.Send) -> None:
+        self._unsent_messages.setdefault((action.router_id, action.address), []).append(
+            action.message
+        )
 
     def _renew_link(self, action: actions.RenewLink) -> None:
         self._counters.add("control.renewed_links")
         _log.info("link renewed", member=action.router_id)
-        self._peers.renew(action.address)
+        self._peers.renew_connection(action.address)
 
     def _poll_load(self, action: actions.PollLoad) -> None:
-        if action.backend_server in self._polling:
+        if action.backend_server in self._polled_servers:
             return
-        self._polling.add(action.backend_server)
-        eventlet.spawn_n(self._poll, action)
+        self._polled_servers.add(action.backend_server)
+        eventlet.spawn_n(self._fetch_load, action)
 
-    def _poll(self, action: actions.PollLoad) -> None:
+    def _fetch_load(self, action: actions.PollLoad) -> None:
         try:
             report = fetch_load(action.backend_server, action.address)
             if report is None:
@@ -161,12 +167,12 @@
             else:
                 self._mailbox.post(report)
         finally:
-            self._polling.discard(action.backend_server)
+            self._polled_servers.discard(action.backend_server)
 
     def _send_order(self, action: actions.SendOrder) -> None:
-        eventlet.spawn_n(self._order, action)
+        eventlet.spawn_n(self._deliver_order, action)
 
-    def _order(self, action: actions.SendOrder) -> None:
+    def _deliver_order(self, action: actions.SendOrder) -> None:
         outcome = send_order(action)
         self._counters.add(f"order.{outcome}")
         _log.info(
@@ -174,14 +180,14 @@
         )
 
     def _fetch_part(self, action: actions.FetchPart) -> None:
-        eventlet.spawn_n(self._fetch, action)
+        eventlet.spawn_n(self._fetch_and_post_part, action)
 
-    def _fetch(self, action: actions.FetchPart) -> None:
+    def _fetch_and_post_part(self, action: actions.FetchPart) -> None:
         text = self._read_part(action.key)
         if text is not None:
             self._mailbox.post(events.PartRead(action.digest, text))
 
-    def _note_configuration(self, action: actions.ConfigurationChanged) -> None:
+    def _record_configuration(self, action: actions.ConfigurationChanged) -> None:
         version = action.configuration.version
         self._counters.add("configuration.accepted")
         _log.info(
@@ -191,7 +197,7 @@
             source=action.source,
         )
 
-    def _note_servers(self, action: actions.BackendServersChanged) -> None:
+    def _record_servers(self, action: actions.BackendServersChanged) -> None:
         self._counters.add("discovery.changed")
         _log.info(
             "backend servers changed",
@@ -203,7 +209,7 @@
             source=action.source,
         )
 
-    def _note_cold(self, action: actions.ColdEngineDetected) -> None:
+    def _record_cold_engine(self, action: actions.ColdEngineDetected) -> None:
         self._counters.add(f"engines.cold.{action.reason.replace(' ', '_')}")
         _log.info(
             "engine is cold",
@@ -212,7 +218,7 @@
             reason=action.reason,
         )
 
-    def _note_leaving(self, action: actions.ServerLeavingReported) -> None:
+    def _record_leaving_server(self, action: actions.ServerLeavingReported) -> None:
         self._counters.add("backend.leaving")
         _log.info(
             "backend server leaves",
@@ -221,7 +227,7 @@
             request_id=action.request_id or None,
         )
 
-    def _note_backoff(self, action: actions.ServerBackoffReported) -> None:
+    def _record_backoff(self, action: actions.ServerBackoffReported) -> None:
         self._counters.add("backend.backoff")
         left_s = action.until_s - clocks.now_s()
         _log.info(
@@ -231,12 +237,12 @@
             request_id=action.request_id,
         )
 
-    def _read_source(self, action: actions.ReadSource) -> None:
+    def _switch_source_reading(self, action: actions.ReadSource) -> None:
         self._counters.add(f"source.{'read' if action.wanted else 'left_to_others'}")
-        self._reading.set(action.wanted)
+        self._read_switch.set(action.wanted)
         _log.info("reading the source", wanted=action.wanted, readers_before=action.readers_before)
 
-    def _note_rejection(self, action: actions.ConfigurationRejected) -> None:
+    def _record_rejected_configuration(self, action: actions.ConfigurationRejected) -> None:
         self._counters.add("configuration.rejected")
         _log.error(
             "configuration rejected",
@@ -244,11 +250,11 @@
             findings=[str(finding) for finding in action.findings],
         )
 
-    def _note_admission(self, action: actions.AdmissionDecided) -> None:
+    def _record_admission(self, action: actions.AdmissionDecided) -> None:
         granted = action.retry_after_ms is None
         outcome = "granted" if granted else "refused"
         self._counters.add(f"admission.{outcome}")
-        band = _name_band(action)
+        band = _find_share_band(action)
         self._counters.add(f"shares.{outcome}_tokens.{band}", action.asked_tokens)
         estimate = action.estimate
         _log.info(
@@ -270,7 +276,7 @@
             estimate_age_ms=estimate.age_ms,
         )
 
-    def _note_level(self, action: actions.ShareLevelReported) -> None:
+    def _record_share_level(self, action: actions.ShareLevelReported) -> None:
         _log.info(
             "share level",
             pool=action.pool,
@@ -289,7 +295,7 @@
             },
         )
 
-    def _note_member(self, action: actions.MemberStateChanged) -> None:
+    def _record_member_change(self, action: actions.MemberStateChanged) -> None:
         change = action.change
         self._counters.add(f"members.{change.state.name.lower()}")
         _log.info(
@@ -302,19 +308,19 @@
             incarnation=change.incarnation,
         )
 
-    def _note_retry(self, action: actions.RequestRequeued) -> None:
+    def _record_retry(self, action: actions.RequestRequeued) -> None:
         self._counters.add(f"retry.{action.reason}")
         _log.info("retry", request_id=action.request_id, reason=action.reason)
 
-    def _note_drop(self, action: actions.MessageDropped) -> None:
+    def _record_dropped_message(self, action: actions.MessageDropped) -> None:
         self._counters.add(f"drop.{DropReason(action.reason)}")
 
-    def _note_ejection(self, action: actions.ServerEjected) -> None:
+    def _record_ejection(self, action: actions.ServerEjected) -> None:
         self._counters.add("backend.ejected")
         left_s = action.until_s - clocks.now_s()
         _log.warning("ejected", backend_server=action.backend_server, for_s=round(left_s, 2))
 
-    def _note_end(self, action: actions.ServerEndCounted) -> None:
+    def _record_server_end(self, action: actions.ServerEndCounted) -> None:
         self._counters.add("quarantine.ends")
         _log.warning(
             "backend server ended under a request",
@@ -323,7 +329,7 @@
             ends=action.ends,
         )
 
-    def _note_quarantine(self, action: actions.QuarantineChanged) -> None:
+    def _record_quarantine(self, action: actions.QuarantineChanged) -> None:
         self._counters.add("quarantine.held" if action.ends else "quarantine.lifted")
         left_s = action.held_until_s - clocks.now_s()
         _log.warning(
@@ -334,41 +340,41 @@
             cause=action.cause,
         )
 
-    def _note_pause(self, action: actions.PauseDetected) -> None:
+    def _record_pause(self, action: actions.PauseDetected) -> None:
         self._counters.add("process.paused")
         _log.warning("woke late", late_s=round(action.late_s, 3))
 
 
-def _name_band(action: actions.AdmissionDecided) -> str:
-    """Return how a request stands to its workspace's share, as counters name it."""
+def _find_share_band(action: actions.AdmissionDecided) -> str:
+    """Return how a request stands to its workspace's share, as it appears in counter names."""
     if action.tier > 0:
         return "excess"
     return "share" if action.above_share else "below_share"
 
 
-# Each method's own signature types its action; the table only pairs the two.
-_CARRY_OUT: dict[type, Callable[[CoreTask, Any], None]] = {
-    actions.Dispatch: CoreTask._decide,
-    actions.Refuse: CoreTask._decide,
-    actions.Send: CoreTask._send,
+# The values are typed Any here; each method's signature gives the type of its action.
+_ACTION_HANDLERS: dict[type, Callable[[CoreTask, Any], None]] = {
+    actions.Dispatch: CoreTask._deliver_decision,
+    actions.Refuse: CoreTask._deliver_decision,
+    actions.Send: CoreTask._queue_message,
     actions.RenewLink: CoreTask._renew_link,
     actions.PollLoad: CoreTask._poll_load,
     actions.SendOrder: CoreTask._send_order,
     actions.FetchPart: CoreTask._fetch_part,
-    actions.ConfigurationChanged: CoreTask._note_configuration,
-    actions.BackendServersChanged: CoreTask._note_servers,
-    actions.ColdEngineDetected: CoreTask._note_cold,
-    actions.ServerLeavingReported: CoreTask._note_leaving,
-    actions.ServerBackoffReported: CoreTask._note_backoff,
-    actions.ReadSource: CoreTask._read_source,
-    actions.ConfigurationRejected: CoreTask._note_rejection,
-    actions.AdmissionDecided: CoreTask._note_admission,
-    actions.ShareLevelReported: CoreTask._note_level,
-    actions.MemberStateChanged: CoreTask._note_member,
-    actions.RequestRequeued: CoreTask._note_retry,
-    actions.MessageDropped: CoreTask._note_drop,
-    actions.ServerEjected: CoreTask._note_ejection,
-    actions.ServerEndCounted: CoreTask._note_end,
-    actions.QuarantineChanged: CoreTask._note_quarantine,
-    actions.PauseDetected: CoreTask._note_pause,
+    actions.ConfigurationChanged: CoreTask._record_configuration,
+    actions.BackendServersChanged: CoreTask._record_servers,
+    actions.ColdEngineDetected: CoreTask._record_cold_engine,
+    actions.ServerLeavingReported: CoreTask._record_leaving_server,
+    actions.ServerBackoffReported: CoreTask._record_backoff,
+    actions.ReadSource: CoreTask._switch_source_reading,
+    actions.ConfigurationRejected: CoreTask._record_rejected_configuration,
+    actions.AdmissionDecided: CoreTask._record_admission,
+    actions.ShareLevelReported: CoreTask._record_share_level,
+    actions.MemberStateChanged: CoreTask._record_member_change,
+    actions.RequestRequeued: CoreTask._record_retry,
+    actions.MessageDropped: CoreTask._record_dropped_message,
+    actions.ServerEjected: CoreTask._record_ejection,
+    actions.ServerEndCounted: CoreTask._record_server_end,
+    actions.QuarantineChanged: CoreTask._record_quarantine,
+    actions.PauseDetected: CoreTask._record_pause,
 }
--- a/packages/router/src/myrtlehook_router/process/counters.py
+++ b/packages/router/src/myrtlehook_router/process/counters.py
@@ -1,4 +1,4 @@
-"""Counters: kept in the process for operators, and sent to statsd."""
+"""Event counters and durations, kept in the process for operators and sent to statsd."""
 
 from collections import Counter
 
@@ -7,7 +7,7 @@
 
 from myrtlehook_core import Listener
 
-PREFIX = "myrtlehook"
+STATSD_PREFIX = "myrtlehook"
 
 
 class Counters:
@@ -16,19 +16,19 @@
     def __init__(self, address: Listener | None) -> None:
         self.values: Counter[str] = Counter()
         self.histogram: Histogram | None = None
-        """Set where metrics are served as well."""
+        """Durations by name; None unless the process serves Prometheus metrics."""
         self._client: statsd.StatsClient | None = None
         if address is not None:
-            self._client = statsd.StatsClient(address.address, address.port, prefix=PREFIX)
+            self._client = statsd.StatsClient(address.address, address.port, prefix=STATSD_PREFIX)
 
     def add(self, name: str, count: int = 1) -> None:
-        """Count something that happened."""
+        """Increase a counter."""
         self.values[name] += count
         if self._client is not None:
             self._client.incr(name, count)
 
     def time(self, name: str, elapsed_s: float) -> None:
-        """Count a duration, and send it to statsd."""
+        """Record a duration."""
         if self.histogram is not None:
             self.histogram.labels(name).observe(elapsed_s)
         if self._client is not None:
--- a/packages/router/src/myrtlehook_router/process/daemons.py
+++ b/packages/router/src/myrtlehook_router/process/daemons.py
@@ -1,4 +1,4 @@
-"""One router process: its tasks started, and stopped without cutting a request off."""
+"""The router process: starts its tasks, and drains open requests before it stops."""
 
 import random
 import signal
@@ -17,23 +17,23 @@
 from myrtlehook_router.process.mailboxes import Mailbox
 from myrtlehook_router.process.operators import OperatorServices, make_operator_application
 from myrtlehook_router.process.peers import PeerSockets
-from myrtlehook_router.process.tasks import guard
+from myrtlehook_router.process.tasks import run_or_exit
 from myrtlehook_router.request.applications import make_application
 from myrtlehook_router.request.services import RequestServices
 from myrtlehook_router.request.tickets import TicketRegistry
 
 PEER_WAIT_S = 2.0
-"""A starting router serves once a peer has answered, or after this long alone."""
+"""A starting router becomes ready once a peer has answered, or after this time without one."""
 
-DRAIN_CHECK_S = 0.05
+DRAIN_CHECK_INTERVAL_S = 0.05
 DRAIN_LINGER_S = 0.3
-"""Answers already handed to the kernel get this long to leave."""
+"""Time for responses that are already in the kernel's buffers to be sent."""
 
 _log = get_logger("daemon")
 
 
 class Daemon:
-    """All tasks of one router process."""
+    """Owns all tasks of one router process."""
 
     def __init__(self, settings: Settings) -> None:
         set_up_logs(settings.vm)
@@ -51,25 +51,25 @@
         self._core_task = self._make_core_task(incarnation)
 
     def run(self) -> None:
-        """Serve until SIGTERM or SIGINT, then drain; returns once nothing is left."""
+        """Serve until SIGTERM or SIGINT, then drain; return once drained."""
         signal.signal(signal.SIGTERM, self._on_signal)
         signal.signal(signal.SIGINT, self._on_signal)
-        for task in self._tasks():
-            eventlet.spawn(guard, task)
+        for task in self._list_tasks():
+            eventlet.spawn(run_or_exit, task)
         _log.info("started", callers=self._settings.callers.port)
         self._wait_until_drained()
         self._peers.close()
         _log.info("stopped")
 
     def is_ready(self) -> bool:
-        """Tell the balancer whether to send callers here."""
+        """Return whether the load balancer should send clients here."""
         core = self._core_task.core
         if self._draining or core.configuration.version.number == 0:
             return False
         members = core.table.members.values()
         if any(member.state is MemberState.ALIVE for member in members):
             return True
-        # A restarted router asks its peers first, because the platform may be stale.
+        # After a restart, peers are asked first, because the platform's data may be stale.
         return clocks.now_s() - self._started_at_s > PEER_WAIT_S
 
     def _make_core_task(self, incarnation: int) -> CoreTask:
@@ -87,21 +87,21 @@
             self._counters,
         )
 
-    def _tasks(self) -> list[Callable[[], None]]:
+    def _list_tasks(self) -> list[Callable[[], None]]:
         settings = self._settings
         limits = settings.limits
-        callers = make_application(self._request_services())
-        operators = make_operator_application(self._operator_services())
+        callers = make_application(self._make_request_services())
+        operators = make_operator_application(self._make_operator_services())
         return [
             self._core_task.run_forever,
             lambda: self._peers.receive_forever(self._mailbox),
             lambda: self._platform.watch_manifest(self._mailbox),
-            lambda: self._platform.watch_vm_list(self._mailbox, self._note_listed),
+            lambda: self._platform.watch_vm_list(self._mailbox, self._record_listed_ips),
             lambda: serve_http(settings.callers, callers, limits, self._counters),
             lambda: serve_http(settings.operators, operators, limits, self._counters),
         ]
 
-    def _request_services(self) -> RequestServices:
+    def _make_request_services(self) -> RequestServices:
         return RequestServices(
             mailbox=self._mailbox,
             tickets=self._tickets,
@@ -111,7 +111,7 @@
             body_limit_bytes=self._settings.limits.body_bytes,
         )
 
-    def _operator_services(self) -> OperatorServices:
+    def _make_operator_services(self) -> OperatorServices:
         return OperatorServices(
             core_task=self._core_task,
             counters=self._counters,
@@ -121,19 +121,19 @@
             cut_allowed=self._settings.test_hooks.cut,
         )
 
-    def _note_listed(self, event: events.VmListRead) -> None:
+    def _record_listed_ips(self, event: events.VmListRead) -> None:
         addresses = [vm.address for vm in event.vms]
         addresses += [seed.address for seed in self._settings.seeds]
-        self._peers.listed_ips = frozenset(item.rpartition(":")[0] for item in addresses)
+        self._peers.listed_ips = frozenset(address.rpartition(":")[0] for address in addresses)
 
     def _on_signal(self, number: int, frame: object) -> None:
         self._draining = True
 
     def _wait_until_drained(self) -> None:
         while not self._draining:
-            eventlet.sleep(DRAIN_CHECK_S)
+            eventlet.sleep(DRAIN_CHECK_INTERVAL_S)
         _log.info("draining", open_requests=len(self._tickets))
         self._mailbox.post(events.DrainStarted())
         while len(self._tickets) > 0:
-            eventlet.sleep(DRAIN_CHECK_S)
+            eventlet.sleep(DRAIN_CHECK_INTERVAL_S)
         eventlet.sleep(DRAIN_LINGER_S)
--- a/packages/router/src/myrtlehook_router/process/engine_gauges.py
+++ b/packages/router/src/myrtlehook_router/process/engine_gauges.py
@@ -1,4 +1,4 @@
-"""What a router tells on its metrics address of the model engines that it owns."""
+"""Gauges of the model engines that a router owns, served on its metrics address."""
 
 from collections.abc import Callable, Iterable
 
@@ -15,11 +15,11 @@
     "engine_waiting_requests": lambda item: item.waiting_requests,
     "engine_cold_left_s": lambda item: max(item.cold_until_s - clocks.now_s(), 0.0),
 }
-"""How each gauge of docs/operators/metrics.md is read off."""
+"""Reads the value of each gauge that docs/operators/metrics.md lists."""
 
 
 def list_engine_gauges(engines: Iterable[EngineFigures]) -> dict[str, dict[str, float]]:
-    """Return the value of each gauge for each engine, by its name."""
+    """Return the values by gauge and by the name of the engine."""
     known = list(engines)
     return {
         name: {item.backend_server: read(item) for item in known} for name, read in GAUGES.items()
--- a/packages/router/src/myrtlehook_router/process/gateway_settings.py
+++ b/packages/router/src/myrtlehook_router/process/gateway_settings.py
@@ -1,4 +1,4 @@
-"""What a router process with the routed interface is told at its start."""
+"""Settings of a router process with the routed interface."""
 
 from dataclasses import dataclass, field
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewaySettings:
-    """Everything that one router process is told at its start."""
+    """The settings with which one router process starts."""
 
     vm: str
     availability_zone: str
@@ -17,18 +17,18 @@
     metrics: Listener
     peers: Listener
     seeds: tuple[str, ...]
-    """Addresses of routers that may be alive."""
+    """Addresses of routers that may be alive, to join the fleet through."""
     fleet_key: str
-    names: HeaderNames
+    header_names: HeaderNames
     parser: ConfigurationParser
-    connections: int
+    max_connections: int
     drain_notice_s: float
-    """How long a stopping router still takes connections, until the balancer has noticed."""
+    """Time for which a stopping router still accepts requests, until the load balancer notices."""
     drain_limit_s: float
-    """How long after the signal to stop the process ends at the latest."""
+    """Time after the stop signal at which the router stops waiting for open requests."""
     options: CoreOptions = field(default_factory=CoreOptions)
-    helping: Listener | None = None
-    """Where neighbours pass connections on; None where they do not."""
-    caller_descriptors: int = 0
-    """For callers' connections: one that is served here takes one, one that a neighbour
-    serves takes two."""
+    neighbours: Listener | None = None
+    """Where neighbours pass on connections to this router; None if they don't."""
+    max_caller_descriptors: int = 0
+    """Limit of file descriptors for clients' connections: one that is served here takes one,
+    one that a neighbour serves takes two. With 0, the limit is ``max_connections``."""
--- a/packages/router/src/myrtlehook_router/process/lags.py
+++ b/packages/router/src/myrtlehook_router/process/lags.py
@@ -1,4 +1,4 @@
-"""How late the process's loop is, measured by a task that wakes at fixed times."""
+"""Measures how late the event loop runs tasks, by a task that sleeps for fixed intervals."""
 
 from collections.abc import Callable
 
@@ -10,28 +10,30 @@
 
 WAKE_INTERVAL_S = 0.02
 IDLE_INTERVAL_S = 0.1
-"""While little is done, nothing can be late for long, and each waking costs as well."""
+"""Applies to an idle router: lags don't last long there, and each wake-up costs time too."""
 
-IDLE_PART = 0.3
-"""Of its processor time; below it a router does little."""
+MAX_IDLE_BUSY_FRACTION = 0.3
+"""A router that is busy for less than this fraction of the time counts as idle."""
 
 _log = get_logger("lag")
 
 
-def watch_lag(shedding: Shedding, busy_part: Callable[[], float]) -> None:
-    """Tell of each lag; the loop of this task.
+def watch_lag(shedding: Shedding, get_busy_fraction: Callable[[], float]) -> None:
+    """Report each lag to load shedding; the loop of this task.
 
-    :param busy_part: returns the part of its processor time that this router uses.
+    :param get_busy_fraction: returns the fraction of the time in which the event loop works.
     """
-    shed = False
+    was_shedding = False
     while True:
-        is_idle = busy_part() < IDLE_PART and not shed
+        is_idle = get_busy_fraction() < MAX_IDLE_BUSY_FRACTION and not was_shedding
         interval_s = IDLE_INTERVAL_S if is_idle else WAKE_INTERVAL_S
-        wanted_s = clocks.now_s() + interval_s
+        due_s = clocks.now_s() + interval_s
         eventlet.sleep(interval_s)
         now_s = clocks.now_s()
-        lag_s = now_s - wanted_s
+        lag_s = now_s - due_s
         note_lag(shedding, lag_s, now_s)
-        if shed != (shedding.refused_fraction > 0.0):
-            shed = shedding.refused_fraction > 0.0
-            _log.info("shedding" if shed else "shedding ended", lag_ms=round(lag_s * 1000.0, 1))
+        if was_shedding != (shedding.refused_fraction > 0.0):
+            was_shedding = shedding.refused_fraction > 0.0
+            _log.info(
+                "shedding" if was_shedding else "shedding ended", lag_ms=round(lag_s * 1000.0, 1)
+            )
--- a/packages/router/src/myrtlehook_router/process/log_streams.py
+++ b/packages/router/src/myrtlehook_router/process/log_streams.py
@@ -1,4 +1,4 @@
-"""A log stream that never blocks: what its reader does not take in time is dropped and counted."""
+"""A log stream that never blocks: lines that its reader is too slow for are dropped and counted."""
 
 import os
 from collections import deque
@@ -8,65 +8,65 @@
 
 FLUSH_INTERVAL_S = 0.1
 RETRY_INTERVAL_S = 0.02
-"""After a write that the descriptor did not take whole: a pipe holds some 160 lines."""
+"""Delay after a partial write; a pipe holds about 160 lines."""
 
-QUEUED_LINES = 4000
-LINES_A_FLUSH = 500
-"""Bounds the volume to 5,000 lines a second."""
+MAX_QUEUED_LINES = 4000
+MAX_LINES_PER_FLUSH = 500
+"""Limits the output to 5,000 lines per second."""
 
-TELL_INTERVAL_S = 1.0
+REPORT_INTERVAL_S = 1.0
 
 
 class BoundedStream:
-    """Queues whole lines, and writes them to a descriptor from a task of its own."""
+    """Queues whole lines, which a separate task writes to a descriptor."""
 
     def __init__(self, descriptor: int) -> None:
         self._descriptor = descriptor
         self._lines: deque[str] = deque()
-        self._rest = b""
+        self._unwritten = b""
         self.dropped_lines = 0
-        self._told_lines = 0
-        self._written = Event()
-        """Sent when a line was queued since the task last slept for want of any."""
+        self._reported_lines = 0
+        self._line_queued = Event()
+        """Sent when a line is queued; replaced when the task wakes up for it."""
         os.set_blocking(descriptor, False)
 
     def write(self, text: str) -> None:
-        """Queue one line, or count it as dropped when too much waits."""
-        if len(self._lines) >= QUEUED_LINES:
+        """Queue one line, or drop and count it if the queue is full."""
+        if len(self._lines) >= MAX_QUEUED_LINES:
             self.dropped_lines += 1
             return
         self._lines.append(text)
-        if not self._written.ready():
-            self._written.send()
+        if not self._line_queued.ready():
+            self._line_queued.send()
 
     def flush(self) -> None:
-        """Do nothing: the stream's own task writes."""
+        """Do nothing: the task of this stream writes the lines."""
 
-    def take_untold(self) -> int:
-        """Return how many lines were dropped that the log has not told of yet.
+    def take_unreported_drops(self) -> int:
+        """Return the number of dropped lines that the log has not reported yet, and reset it.
 
-        While the queue is full there are none: a line about them would be dropped as well.
+        Returns 0 while the queue is full, when a line that reports them would be dropped too.
         """
-        if len(self._lines) >= QUEUED_LINES:
+        if len(self._lines) >= MAX_QUEUED_LINES:
             return 0
-        untold = self.dropped_lines - self._told_lines
-        self._told_lines = self.dropped_lines
-        return untold
+        unreported = self.dropped_lines - self._reported_lines
+        self._reported_lines = self.dropped_lines
+        return unreported
 
     def write_forever(self) -> None:
-        """Write what is queued, at intervals; the loop of this task."""
+        """Write queued lines at intervals; the loop of this task."""
         while True:
-            if not self._lines and not self._rest:
-                self._written.wait()
-                self._written = Event()
-            eventlet.sleep(RETRY_INTERVAL_S if self._rest else FLUSH_INTERVAL_S)
+            if not self._lines and not self._unwritten:
+                self._line_queued.wait()
+                self._line_queued = Event()
+            eventlet.sleep(RETRY_INTERVAL_S if self._unwritten else FLUSH_INTERVAL_S)
             self.write_queued()
 
     def write_queued(self) -> None:
-        """Write what the descriptor takes now."""
-        content = self._rest
+        """Write one batch of queued lines, as far as the descriptor accepts it now."""
+        content = self._unwritten
         if not content:
-            count = min(LINES_A_FLUSH, len(self._lines))
+            count = min(MAX_LINES_PER_FLUSH, len(self._lines))
             content = "".join(self._lines.popleft() for _ in range(count)).encode()
         if not content:
             return
@@ -75,6 +75,6 @@
         except BlockingIOError:
             written = 0
         except OSError:
-            # Nobody reads the log any more; there is nobody to tell.
+            # The log's reader is gone, and there is no other place to report it: discard the lines.
             written = len(content)
-        self._rest = content[written:]
+        self._unwritten = content[written:]
--- a/packages/router/src/myrtlehook_router/process/logs.py
+++ b/packages/router/src/myrtlehook_router/process/logs.py
@@ -1,4 +1,4 @@
-"""Logs: one JSON object a line on standard output."""
+"""Logging: one JSON object per line on standard output."""
 
 import sys
 from typing import TextIO
@@ -11,7 +11,7 @@
     """Make every log line a JSON object that names this VM."""
 
     def add_vm(logger: object, method: str, event: EventDict) -> EventDict:
-        # Context variables would be lost from one green thread to the next.
+        # A context variable would not carry over from one green thread to another.
         event["vm"] = vm
         return event
 
@@ -23,13 +23,13 @@
             structlog.processors.dict_tracebacks,
             structlog.processors.JSONRenderer(),
         ],
-        # It writes a line at once; another one that writes the line's end by itself would
-        # have a bounded stream count, and drop, half lines.
+        # WriteLogger writes a line and its newline in one call. With a logger that writes the
+        # newline separately, a bounded stream would count, and drop, half lines.
         logger_factory=structlog.WriteLoggerFactory(file=stream or sys.stdout),
         cache_logger_on_first_use=True,
     )
 
 
 def get_logger(name: str) -> structlog.typing.FilteringBoundLogger:
-    """Return a logger whose lines name the part that they come from."""
+    """Return a logger whose lines carry the name of a part of the router."""
     return structlog.get_logger(part=name)
--- a/packages/router/src/myrtlehook_router/process/metrics.py
+++ b/packages/router/src/myrtlehook_router/process/metrics.py
@@ -15,11 +15,11 @@
 StartResponse = Callable[[str, list[tuple[str, str]]], Any]
 Gauges = Callable[[], dict[str, float]]
 LabelledGauges = Callable[[], dict[str, dict[str, float]]]
-"""By name, the value for each backend server."""
+"""Values by gauge and backend server."""
 
 
 def no_labelled_gauges() -> dict[str, dict[str, float]]:
-    """Tell nothing of backend servers."""
+    """Return no gauges of backend servers."""
     return {}
 
 
@@ -39,7 +39,7 @@
         )
 
     def answer(self, environ: dict[str, Any], start_response: StartResponse) -> Iterable[bytes]:
-        """Serve the figures, whatever the path; a WSGI application."""
+        """Serve the metrics on every path; a WSGI application."""
         body = generate_latest(self.registry)
         headers = [("Content-Type", CONTENT_TYPE), ("Content-Length", str(len(body)))]
         start_response("200 OK", headers)
@@ -47,7 +47,7 @@
 
 
 class _CounterCollector(Collector):
-    """Reads the process's counters when they are asked for."""
+    """Collects the counters and gauges of the process on each scrape."""
 
     def __init__(self, counters: Counters, gauges: Gauges, server_gauges: LabelledGauges) -> None:
         self._counters = counters
--- a/packages/router/src/myrtlehook_router/process/operators.py
+++ b/packages/router/src/myrtlehook_router/process/operators.py
@@ -1,4 +1,4 @@
-"""The operators' endpoints, on an address that callers never reach."""
+"""The operators' endpoints, on an address that clients can't reach."""
 
 import time
 from collections.abc import Callable, Iterable
@@ -19,7 +19,7 @@
 
 
 class CutOrder(msgspec.Struct, frozen=True):
-    """What a failure test wants cut; an empty order heals."""
+    """The links that a failure test cuts; an empty order restores all of them."""
 
     peers: list[str] = []
     platform: bool = False
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorAnswer:
-    """A status and what is sent as JSON."""
+    """A status and the content of a JSON response."""
 
     status: int
     content: object
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorServices:
-    """What the endpoints read."""
+    """What the endpoints need from the process."""
 
     core_task: CoreTask
     counters: Counters
@@ -48,7 +48,7 @@
 def make_operator_application(
     services: OperatorServices,
 ) -> Callable[[dict[str, Any], StartResponse], Iterable[bytes]]:
-    """Make the WSGI application for operators and the balancer."""
+    """Make the WSGI application for operators and the load balancer."""
 
     def application(environ: dict[str, Any], start_response: StartResponse) -> Iterable[bytes]:
         answer = _answer(services, environ)
@@ -70,7 +70,7 @@
     if path == "/metrics":
         return OperatorAnswer(200, _describe_metrics(services))
     if path == "/test/cut" and environ["REQUEST_METHOD"] == "POST" and services.cut_allowed:
-        return _cut(services, environ["wsgi.input"].read())
+        return _apply_cut(services, environ["wsgi.input"].read())
     return OperatorAnswer(404, {"error": f"nothing at {path}"})
 
 
@@ -83,7 +83,7 @@
     }
 
 
-def _cut(services: OperatorServices, content: bytes) -> OperatorAnswer:
+def _apply_cut(services: OperatorServices, content: bytes) -> OperatorAnswer:
     try:
         order = msgspec.json.decode(content, type=CutOrder)
     except msgspec.DecodeError as error:
--- a/packages/router/src/myrtlehook_router/process/signals.py
+++ b/packages/router/src/myrtlehook_router/process/signals.py
@@ -1,4 +1,4 @@
-"""Lets a task sleep until the operating system has signalled the process."""
+"""Lets a task wait for a signal of the operating system."""
 
 import eventlet
 from eventlet import hubs
@@ -6,22 +6,22 @@
 
 
 class Signal:
-    """Set by a signal's handler, waited for by one task."""
+    """An event that a signal handler sets and one task waits for."""
 
     def __init__(self) -> None:
         self._event = Event()
 
     def set(self) -> None:
-        """Wake the task that waits; safe in a signal's handler, which may run in any task."""
+        """Wake the waiting task; safe in a signal handler, which may interrupt any task."""
         hubs.get_hub().schedule_call_global(0, self._send)
 
     def wait(self, wait_s: float | None) -> None:
-        """Wait until the signal is set, or for so long at the most."""
+        """Wait until the signal is set, at most for ``wait_s``; None waits without limit."""
         with eventlet.Timeout(wait_s, False):
             self._event.wait()
 
     def clear(self) -> None:
-        """Wait for the next signal from now on."""
+        """Reset, so that ``wait`` waits for the next signal."""
         self._event = Event()
 
     def _send(self) -> None:
--- a/packages/router/src/myrtlehook_router/process/tasks.py
+++ b/packages/router/src/myrtlehook_router/process/tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that must never end."""
+"""Runs tasks without which the process must not go on."""
 
 import sys
 from collections.abc import Callable
@@ -10,8 +10,8 @@
 _log = get_logger("tasks")
 
 
-def guard(task: Callable[[], None]) -> None:
-    """Run a task; if it ends, the process must not go on without it."""
+def run_or_exit(task: Callable[[], None]) -> None:
+    """Run a task that should never end; if it ends or fails, exit the process with status 1."""
     try:
         task()
     except Exception:
--- a/packages/router/src/myrtlehook_router/version/__init__.py
+++ b/packages/router/src/myrtlehook_router/version/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for one configuration version: the look-up of API keys."""
+"""What depends on one configuration version: the lookup of API keys."""
--- a/tests/steps/link_steps.py
+++ b/tests/steps/link_steps.py
@@ -137,7 +137,7 @@
 
 @when("it opens the connection anew")
 def renew(context: Any) -> None:
-    context.sender.renew(context.address)
+    context.sender.renew_connection(context.address)
 
 
 @then("its next message arrives")
--- a/tests/steps/overload_steps.py
+++ b/tests/steps/overload_steps.py
@@ -41,7 +41,7 @@
                      reason=kind.reason, route="route", workspace=workspace)
 
 def write_all():
-    while stream._lines or stream._rest:
+    while stream._lines or stream._unwritten:
         stream.write_queued()
 """
 
@@ -64,8 +64,8 @@
         context,
         f"for number in range({count}): log.info('line', number=number)",
         "write_all()",
-        "untold = stream.take_untold()",
-        "if untold: log.warning('log lines dropped', lines=untold)",
+        "dropped = stream.take_unreported_drops()",
+        "if dropped: log.warning('log lines dropped', lines=dropped)",
         "write_all()",
     )
 
--- a/tests/steps/platform_operator_steps.py
+++ b/tests/steps/platform_operator_steps.py
@@ -238,7 +238,9 @@
         f"Limits.FileDescriptorLimit={descriptors}",
     ]
     fields = read_settings("\n".join(node_file), "node.conf").unwrap()
-    assert make_settings(fields).connections == connections, make_settings(fields).connections
+    assert make_settings(fields).max_connections == connections, make_settings(
+        fields
+    ).max_connections
 
 
 @then('the metrics of some router give "{engine}" a rate, a delay and a window')
--- a/tests/steps/regression_steps.py
+++ b/tests/steps/regression_steps.py
@@ -184,7 +184,7 @@
     peers = PeerSockets("vm-1", listener, "a key of some length", 1, context.counters)
     peers.listed_ips = frozenset({"127.0.0.1"})
     received = SimpleNamespace(bytes=b"x" * 32, pipe=_ClosedPipe())
-    peers._take(received, Mailbox())
+    peers._receive(received, Mailbox())
     peers.close()
 
 
@@ -285,7 +285,7 @@
 @then("the core has heard of a beginning {count:d} times")
 def check_beginnings(context: Any, count: int) -> None:
     heard = []
-    while (event := context.mailbox.take(0.0)) is not None:
+    while (event := context.mailbox.receive(0.0)) is not None:
         heard.append(event)
     assert [type(event) for event in heard] == [events.ServiceObserved] * count, heard
 
