--- a/bench/admission_slopes.py
+++ b/bench/admission_slopes.py
@@ -6,7 +6,7 @@
 
 from bench.slopes import REPEATS, Slope
 from myrtlehook_core import encode_envelope
-from myrtlehook_core.process.accountants import PoolAccount, record_demand
+from myrtlehook_core.process.accountants import PoolAccount, record_demand_report
 from myrtlehook_core.process.admission_messages import (
     AdmissionGrant,
     AdmissionProgress,
@@ -93,12 +93,12 @@
             for _ in range(count)
         ]
         for number, report in enumerate(reports):
-            record_demand(accounts, f"r{number}", report, 1e9, 1.0)
+            record_demand_report(accounts, f"r{number}", report, 1e9, 1.0)
 
         def take(
             accounts: dict[str, PoolAccount] = accounts, report: DemandReport = reports[0]
         ) -> None:
-            record_demand(accounts, "r0", report, 1e6, 1.0)
+            record_demand_report(accounts, "r0", report, 1e6, 1.0)
 
         cost_ms = _time_ms(take, max(REPEATS // count, 3))
         slopes.append(Slope(f"accountant: one report among {count} routers", cost_ms, "ms"))
--- a/bench/quarantine_slopes.py
+++ b/bench/quarantine_slopes.py
@@ -13,7 +13,7 @@
     Quarantine,
     collect_quarantine_rows,
     count_end,
-    hold_request,
+    quarantine_request,
     record_sound_run,
 )
 from myrtlehook_core.process.quarantine_messages import QuarantineRow, ServerEndReport
@@ -49,7 +49,7 @@
         fingerprint = number.to_bytes(16, "big")
         suspect = count_end(quarantine, ServerEndReport(fingerprint, "i-1", 80, 1), 1.0)
         assert suspect is not None
-        hold_request(quarantine, fingerprint, suspect, 1.0)
+        quarantine_request(quarantine, fingerprint, suspect, 1.0)
     rows = collect_quarantine_rows(quarantine, 1.5)
     return [
         Slope("end report on the wire", _size(report), "bytes"),
--- a/packages/core/src/myrtlehook_core/__init__.py
+++ b/packages/core/src/myrtlehook_core/__init__.py
@@ -30,18 +30,18 @@
 from myrtlehook_core.process.neighbours import (
     Neighbours,
     choose_neighbour,
-    note_closed,
-    note_opened,
-    note_short,
-    passes_on,
+    record_closed,
+    record_opened,
+    record_short,
+    should_pass_on,
 )
 from myrtlehook_core.process.option_files import change_options
 from myrtlehook_core.process.options import CoreOptions
-from myrtlehook_core.process.quarantine import count_held
+from myrtlehook_core.process.quarantine import count_quarantined
 from myrtlehook_core.process.routers import RouterCore
 from myrtlehook_core.process.share_standings import ShareStanding, count_arrival, should_shed
 from myrtlehook_core.process.shares import Shares
-from myrtlehook_core.process.shedding import Shedding, book_return, note_lag, sheds
+from myrtlehook_core.process.shedding import Shedding, record_lag, schedule_retry, should_refuse
 from myrtlehook_core.process.statuses import RouterStatus, describe_router
 from myrtlehook_core.request.admission import QueueLimits
 from myrtlehook_core.request.fingerprints import fingerprint_request
@@ -58,7 +58,7 @@
     Configuration,
     ConfigurationVersion,
     EngineCapacity,
-    EntryLimits,
+    IngressLimits,
     Pool,
     PoolKind,
     Workspace,
@@ -83,8 +83,8 @@
         LimitSettings,
         ListenSettings,
         Settings,
-        core_options,
         load_settings,
+        make_core_options,
     )
     from myrtlehook_core.version.assembly import (
         assemble_configuration,
@@ -107,7 +107,7 @@
         "LimitSettings",
         "ListenSettings",
         "Settings",
-        "core_options",
+        "make_core_options",
         "load_settings",
     ),
     "version.assembly": (
@@ -146,11 +146,11 @@
     "Listener",
     "find_share_tokens",
     "fingerprint_request",
-    "count_held",
+    "count_quarantined",
     "read_record",
     "EngineCapacity",
     "EngineFigures",
-    "EntryLimits",
+    "IngressLimits",
     "PoolWeight",
     "PromptPart",
     "QueueLimits",
@@ -161,7 +161,7 @@
     "choose_pool",
     "find_route",
     "load_settings",
-    "core_options",
+    "make_core_options",
     "Settings",
     "ListenSettings",
     "LimitSettings",
@@ -186,10 +186,10 @@
     "MemberTable",
     "Neighbours",
     "choose_neighbour",
-    "note_closed",
-    "note_opened",
-    "note_short",
-    "passes_on",
+    "record_closed",
+    "record_opened",
+    "record_short",
+    "should_pass_on",
     "Outcome",
     "PartDocument",
     "PartReference",
@@ -225,9 +225,9 @@
     "join_parts",
     "judge_event",
     "make_weighted_chooser",
-    "book_return",
-    "note_lag",
-    "sheds",
+    "schedule_retry",
+    "record_lag",
+    "should_refuse",
     "messages",
     "parse_document",
     "should_shed",
--- a/packages/core/src/myrtlehook_core/connection/streams.py
+++ b/packages/core/src/myrtlehook_core/connection/streams.py
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True)
 class StreamPosition:
-    """How far the response to one request has been delivered."""
+    """How far the answer to one request has been delivered."""
 
     request_id: str
     next_offset: int = 0
--- a/packages/core/src/myrtlehook_core/process/accountants.py
+++ b/packages/core/src/myrtlehook_core/process/accountants.py
@@ -15,21 +15,22 @@
 UNLIMITED = -1
 
 HEADROOM_FACTOR = 1.1
-"""Capacity as a multiple of the tokens recently taken by engines, while almost nothing is refused.
-With this headroom no level applies, unless engines take more than the configured capacity."""
+"""While almost nothing is refused, the capacity to share out is this multiple of the tokens that
+engines have recently admitted, up to the configured capacity. The headroom keeps it above the
+demand, so that no level applies unless engines admit more than the configured capacity."""
 
 SHARED_FRACTION = 0.8
-"""Fraction of the tokens recently taken by engines that is shared out while many requests are
-refused, so that engines can take all requests within the shares."""
+"""Fraction of the tokens recently admitted by engines that is shared out while many requests are
+refused, so that engines can admit all requests within the shares."""
 
 SHARED_FRACTION_ABOVE_CONFIGURED = 0.7
-"""The same fraction where engines take more than the configured capacity. Requests within shares
+"""The same fraction where engines admit more than the configured capacity. Requests within shares
 are served first, whatever their length; the remainder leaves room for short requests beyond the
 shares."""
 
 MIN_SHARED_FRACTION = 0.05
-"""Fraction of the configured capacity that is shared out even if engines take nothing. A level of
-0 tokens would have no effect."""
+"""Fraction of the configured capacity that is shared out even if engines admit nothing. A level
+of 0 tokens would have no effect."""
 
 LEVEL_NOTICE_INTERVAL_S = 1.0
 """How often a level is logged for operators while one applies."""
@@ -55,13 +56,13 @@
     asked_tokens: dict[str, int] = field(default_factory=dict)
     """By workspace. Sum over all reports."""
     refused_tokens: dict[str, int] = field(default_factory=dict)
-    """By workspace. Those of the asked tokens that no engine took."""
+    """By workspace. Those of the asked tokens that no engine admitted."""
     granted_tokens: dict[str, int] = field(default_factory=dict)
-    """By workspace. Tokens that engines took."""
+    """By workspace. Tokens that engines admitted."""
     next_notice_s: float = 0.0
 
 
-def record_demand(
+def record_demand_report(
     accounts: dict[str, PoolAccount],
     sender: str,
     report: DemandReport,
@@ -70,11 +71,11 @@
 ) -> ShareLevel:
     """Record a router's report and return the resulting level."""
     account = accounts.setdefault(report.pool, PoolAccount())
-    record_report(account, sender, report.rows, now_s)
+    replace_report(account, sender, report.rows, now_s)
     return _compute_share_level(account, report.pool, configured_tokens)
 
 
-def record_report(
+def replace_report(
     account: PoolAccount, sender: str, rows: tuple[DemandRow, ...], now_s: float
 ) -> None:
     """Replace a router's previous report and drop expired ones."""
@@ -119,24 +120,26 @@
 
 
 def compute_shared_tokens(account: PoolAccount, configured_tokens: float) -> float:
-    """Return the capacity to share out, from the tokens that engines have recently taken.
+    """Return the capacity to share out, from the tokens that engines have recently admitted.
 
     :param configured_tokens: the engines' capacity within the window by the configuration.
 
     Engines that are lost, slow or have to read prompts again do less than the configured
     capacity. Sharing out capacity that they lack would leave the whole shortage to the workspaces
-    just above the level, because those below it are served first in any case. Engines that keep
-    most of their prompts do more than the configured capacity. Sharing out less than they can do
-    would leave the rest to the workspaces with the shortest prompts, because only requests within
-    a share are tried again after a refusal. Requests that still wait do not count as taken:
-    shares that included them would make more requests wait.
+    just above the level, because those below it are served first in any case. Engines that have
+    most of their prompts cached do more than the configured capacity. Sharing out less than they
+    can do would leave the rest to the workspaces with the shortest prompts, because only requests
+    within a share are tried again after a refusal. Requests that still wait do not count as
+    admitted: shares that included them would make more requests wait.
     """
     refused_tokens = sum(account.refused_tokens.values())
-    taken_tokens = sum(account.granted_tokens.values())
-    calm_tokens = min(HEADROOM_FACTOR * taken_tokens - refused_tokens, configured_tokens)
-    within_tokens = min(SHARED_FRACTION * taken_tokens, configured_tokens)
-    beyond_tokens = SHARED_FRACTION_ABOVE_CONFIGURED * taken_tokens
-    return max(within_tokens, beyond_tokens, calm_tokens, MIN_SHARED_FRACTION * configured_tokens)
+    granted_tokens = sum(account.granted_tokens.values())
+    headroom_tokens = min(HEADROOM_FACTOR * granted_tokens - refused_tokens, configured_tokens)
+    within_tokens = min(SHARED_FRACTION * granted_tokens, configured_tokens)
+    beyond_tokens = SHARED_FRACTION_ABOVE_CONFIGURED * granted_tokens
+    return max(
+        within_tokens, beyond_tokens, headroom_tokens, MIN_SHARED_FRACTION * configured_tokens
+    )
 
 
 def compute_level(demands: list[int], capacity: float) -> float | None:
--- a/packages/core/src/myrtlehook_core/process/actions.py
+++ b/packages/core/src/myrtlehook_core/process/actions.py
@@ -106,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ColdEngineDetected:
-    """An engine is considered cold until a given time, by its discovery entry or its responses."""
+    """An engine is considered cold until a given time, by its discovery entry or its answers."""
 
     backend_server: str
     until_s: float
@@ -115,13 +115,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerLeavingReported:
-    """A backend server is leaving, according to one of its own responses or another router."""
+    """A backend server is leaving, according to one of its own answers or another router."""
 
     backend_server: str
     source: str
-    """``answer`` for a response of the server, else the id of the router that reported it."""
+    """``answer`` for an answer of the server, else the id of the router that reported it."""
     request_id: str = ""
-    """The request whose response said so, if any."""
+    """The request whose answer said so, if any."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -131,7 +131,7 @@
     backend_server: str
     until_s: float
     request_id: str
-    """The request whose response said so."""
+    """The request whose answer said so."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -190,12 +190,12 @@
     configured_tokens: float
     """The engines' capacity according to the configuration."""
     shared_tokens: float
-    """The capacity that is divided among workspaces, estimated from what engines took lately and
-    from what is configured."""
+    """The capacity that is divided among workspaces, estimated from what engines admitted lately
+    and from what is configured."""
     asked_tokens: int
     """Demand of all workspaces."""
     refused_tokens: int
-    """The part of the demand that no engine accepted."""
+    """The part of the demand that no engine admitted."""
     reports: int
     """The number of routers or collectors whose reports are counted."""
     above: tuple[DemandRow, ...]
@@ -259,7 +259,7 @@
     fingerprint: bytes
     ends: int
     """The servers that ended while they ran it; 0 if the request was released."""
-    held_until_s: float
+    quarantined_until_s: float
     cause: QuarantineCause
 
 
--- a/packages/core/src/myrtlehook_core/process/admission_ends.py
+++ b/packages/core/src/myrtlehook_core/process/admission_ends.py
@@ -9,7 +9,7 @@
 )
 from myrtlehook_core.process.events import RunEnded
 from myrtlehook_core.process.ingress import get_account, make_pool_key, update_queue_counts
-from myrtlehook_core.process.quarantine import find_remaining_hold_s
+from myrtlehook_core.process.quarantine import find_remaining_quarantine_s
 from myrtlehook_core.process.refusals import find_retry_wait_s, refuse_with_wait
 from myrtlehook_core.process.share_standings import count_refused_request
 from myrtlehook_core.request.charges import settle_charge
@@ -26,8 +26,8 @@
     admission = admissions.open.pop(event.request_id, None)
     if admission is None:
         return False
-    entry = context.entry
-    account = get_account(entry, make_pool_key(admission.request), context.entry_context.draw)
+    ingress = context.ingress
+    account = get_account(ingress, make_pool_key(admission.request), context.ingress_context.draw)
     settle_charge(account, event.request_id, event.cost_units)
     account.last_active_s = now_s
     _close_admission(context, admission, ran=True, failed=event.failed)
@@ -50,24 +50,26 @@
     reason: RefusalReason,
     now_s: float,
 ) -> None:
-    """Refuse a request for good, with the time after which its client may retry."""
+    """Refuse a request finally, with the time after which its client may retry."""
     request = admission.request
     del admissions.open[request.request_id]
     _close_admission(context, admission, ran=False)
-    entry_context = context.entry_context
-    held_s = find_remaining_hold_s(entry_context.quarantine, request.fingerprint, now_s)
-    backoff_s = find_retry_wait_s(context.entry, entry_context, request, now_s)
-    wait_s = held_s or max(admission.retry_after_s, backoff_s)
-    refuse_with_wait(context.entry_context, request, reason, wait_s)
+    ingress_context = context.ingress_context
+    quarantine_s = find_remaining_quarantine_s(
+        ingress_context.quarantine, request.fingerprint, now_s
+    )
+    backoff_s = find_retry_wait_s(context.ingress, ingress_context, request, now_s)
+    wait_s = quarantine_s or max(admission.retry_after_s, backoff_s)
+    refuse_with_wait(context.ingress_context, request, reason, wait_s)
 
 
 def _close_admission(
     context: AdmissionContext, admission: Admission, ran: bool, failed: bool = False
 ) -> None:
     request_id = admission.request.request_id
-    context.entry.attempts.pop(request_id, None)
+    context.ingress.attempts.pop(request_id, None)
     if not admission.granted:
-        update_queue_counts(context.entry, admission.request, -1)
+        update_queue_counts(context.ingress, admission.request, -1)
     if not ran:
         count_refused_request(
             context.shares, admission.request, admission.tier, admission.counted_at_s
--- a/packages/core/src/myrtlehook_core/process/admission_handover.py
+++ b/packages/core/src/myrtlehook_core/process/admission_handover.py
@@ -42,7 +42,7 @@
         parts = tuple(PartRow(part_id, tokens) for part_id, tokens in recent.items())
         if rows or parts:
             estimate = _find_aged_estimate(admissions, name, now_s)
-            context.entry_context.outbox.add(owner, HeldAdmissions(name, rows, parts, estimate))
+            context.ingress_context.outbox.add(owner, HeldAdmissions(name, rows, parts, estimate))
     for admission in admissions.open.values():
         if not admission.granted and admission.backend_server in moved:
             send_admission_request(admissions, context, admission, now_s)
--- a/packages/core/src/myrtlehook_core/process/admission_messages.py
+++ b/packages/core/src/myrtlehook_core/process/admission_messages.py
@@ -63,13 +63,13 @@
 
 
 class AdmissionRefusal(msgspec.Struct, frozen=True, array_like=True, tag=19):
-    """The engine cannot take the request in time."""
+    """The engine cannot serve the request in time."""
 
     request_id: str
     backend_server: str
     retry_after_ms: int
-    kept_tokens: int = 0
-    """Tokens of the prompt's beginning that the engine caches, and another one may fetch."""
+    cached_tokens: int = 0
+    """Tokens of the prompt's beginning that the engine has cached, for another one to fetch."""
     eager: bool = False
     """As in the request that is refused: an engine may be asked twice, eagerly and not, and a
     refusal of the first request may arrive after the second one was sent."""
--- a/packages/core/src/myrtlehook_core/process/admission_requests.py
+++ b/packages/core/src/myrtlehook_core/process/admission_requests.py
@@ -79,9 +79,9 @@
     unread_tokens: int = 0
     ranked_engines: tuple[str, ...] = ()
     """The pool's engines in the order in which they are asked, as of the last ranking."""
-    source: MemorySource = NO_SOURCE
+    memory_source: MemorySource = NO_SOURCE
     """Of the engines that have refused the request, the one that caches most of its prompt."""
-    offered_source: MemorySource = NO_SOURCE
+    offered_memory_source: MemorySource = NO_SOURCE
     """The source that the last admission request offered to the engine's owner."""
 
 
@@ -108,10 +108,10 @@
 
 @dataclass(slots=True)
 class AdmissionContext:
-    """What the admission functions use besides the state of the admissions."""
+    """Dependencies of the admission functions besides the state of the admissions."""
 
-    entry: IngressState
-    entry_context: IngressContext
+    ingress: IngressState
+    ingress_context: IngressContext
     shares: Shares
     find_owner: Callable[[str], str | None]
     now_s: float
@@ -129,7 +129,7 @@
     """
     servers = [
         server
-        for server in context.entry_context.configuration.backend_servers.values()
+        for server in context.ingress_context.configuration.backend_servers.values()
         if server.pool == request.pool and is_usable_engine(context, server.name)
     ]
     key = f"engine/{find_affinity_key(request)}"
@@ -138,7 +138,7 @@
         server.name for server in servers if server.availability_zone == context.availability_zone
     }
     shared_tokens = sum(part.tokens for part in request.prompt_parts[:-1])
-    fewest = context.entry_context.options.fewest_near_engines
+    fewest = context.ingress_context.options.fewest_near_engines
     if shared_tokens > MAX_ZONE_LOCAL_SHARED_TOKENS or len(near) < fewest:
         return EngineRanking(ranked, near_first=False)
     home = next(name for name in ranked if name in near)
@@ -156,10 +156,10 @@
 
 def is_usable_engine(context: AdmissionContext, name: str) -> bool:
     """Return whether an engine is known, not leaving, and not in back-off at this router."""
-    server = context.entry_context.configuration.backend_servers.get(name)
+    server = context.ingress_context.configuration.backend_servers.get(name)
     if server is None or server.leaving:
         return False
-    return not is_backing_off(context.entry.backoffs, name, context.now_s)
+    return not is_backing_off(context.ingress.backoffs, name, context.now_s)
 
 
 def find_memory_source(
@@ -170,12 +170,12 @@
     Owners that refused the request have reported what their engines cache; for the others
     it is estimated from what this router has sent there lately.
     """
-    if not context.entry_context.options.fetches_memory:
+    if not context.ingress_context.options.fetches_memory:
         return NO_SOURCE
     request = admission.request
     best = NO_SOURCE
-    if is_usable_engine(context, admission.source.backend_server):
-        best = admission.source
+    if is_usable_engine(context, admission.memory_source.backend_server):
+        best = admission.memory_source
     for name, recent in admissions.recent_parts.items():
         tokens = count_sent_tokens(recent, request.prompt_parts)
         if tokens > best.tokens and _may_transfer_prompt(context, name, request.pool):
@@ -185,7 +185,7 @@
 
 def _may_transfer_prompt(context: AdmissionContext, name: str, pool: str) -> bool:
     """Return whether an engine is usable and of the pool: other pools run other models."""
-    server = context.entry_context.configuration.backend_servers.get(name)
+    server = context.ingress_context.configuration.backend_servers.get(name)
     return server is not None and server.pool == pool and is_usable_engine(context, name)
 
 
@@ -204,7 +204,7 @@
 ) -> None:
     """Send or resend an admission request to the engine's owner."""
     request = admission.request
-    admission.offered_source = find_memory_source(admissions, context, admission)
+    admission.offered_memory_source = find_memory_source(admissions, context, admission)
     admission.next_send_s = now_s + admission.resend_interval_s
     admission.resend_interval_s *= RESEND_BACKOFF_FACTOR
     owner = context.find_owner(admission.backend_server)
@@ -222,12 +222,12 @@
         priority=request.priority,
         tier=admission.tier,
         hop=admission.hop,
-        fetch_tokens=admission.offered_source.tokens,
+        fetch_tokens=admission.offered_memory_source.tokens,
         above_share=admission.above_share,
         eager=admission.eager,
         aim_ms=round((request.aim_deadline_s - request.arrived_at_s) * 1000.0),
     )
-    context.entry_context.outbox.add(owner, message)
+    context.ingress_context.outbox.add(owner, message)
 
 
 def notify_owner(
@@ -238,4 +238,4 @@
     """Report a request's progress or release to its engine's owner."""
     owner = context.find_owner(admission.backend_server)
     if owner is not None:
-        context.entry_context.outbox.add(owner, message)
+        context.ingress_context.outbox.add(owner, message)
--- a/packages/core/src/myrtlehook_core/process/admissions.py
+++ b/packages/core/src/myrtlehook_core/process/admissions.py
@@ -73,13 +73,13 @@
     now_s: float,
 ) -> None:
     """Start the admission of a new request at its first engine, or refuse the request."""
-    entry = context.entry
-    reason = find_refusal(entry, context.entry_context, make_pool_key(request), request, now_s)
+    ingress = context.ingress
+    reason = find_refusal(ingress, context.ingress_context, make_pool_key(request), request, now_s)
     if reason is not None:
         count_refused_request(context.shares, request, standing.tier, now_s)
-        refuse_request(entry, context.entry_context, request, reason, now_s)
+        refuse_request(ingress, context.ingress_context, request, reason, now_s)
         return
-    options = context.entry_context.options
+    options = context.ingress_context.options
     full = admissions.full_tiers[request.pool]
     tier = standing.tier
     if (
@@ -89,11 +89,11 @@
     ):
         count_refused_request(context.shares, request, tier, now_s)
         refuse_with_wait(
-            context.entry_context, request, RefusalReason.SHARE_EXCEEDED, full.retry_after_s
+            context.ingress_context, request, RefusalReason.SHARE_EXCEEDED, full.retry_after_s
         )
         return
-    entry.attempts[request.request_id] = 0
-    update_queue_counts(entry, request, 1)
+    ingress.attempts[request.request_id] = 0
+    update_queue_counts(ingress, request, 1)
     admission = Admission(request, counted_at_s=now_s)
     if options.keeps_shares:
         admission.tier = tier
@@ -109,7 +109,7 @@
     admissions: Admissions, context: AdmissionContext, admission: Admission, now_s: float
 ) -> None:
     """Send a request to the next engine in its ranking, or refuse it when none is left."""
-    options = context.entry_context.options
+    options = context.ingress_context.options
     candidates = [name for name in admission.ranked_engines if is_usable_engine(context, name)]
     untried = [name for name in candidates if name not in admission.tried]
     if not untried:
@@ -136,7 +136,7 @@
     send_admission_request(admissions, context, admission, now_s)
 
 
-def handle_grant(
+def handle_admission_grant(
     admissions: Admissions,
     context: AdmissionContext,
     sender: str,
@@ -149,7 +149,7 @@
     admission = admissions.open.get(grant.request_id)
     if admission is None or admission.backend_server != grant.backend_server:
         release = AdmissionRelease(grant.request_id, grant.backend_server, ran=False)
-        context.entry_context.outbox.add(sender, release)
+        context.ingress_context.outbox.add(sender, release)
         return
     if admission.granted:
         return
@@ -158,13 +158,13 @@
     elif not is_usable_engine(context, grant.backend_server):
         # Check the engine once more before dispatch: it may have reported a back-off to this
         # router that its owner has not received.
-        context.entry_context.actions.add(MessageDropped(DropReason.GRANT_CLOSED))
+        context.ingress_context.actions.add(MessageDropped(DropReason.GRANT_CLOSED))
         _withdraw_and_ask_next(admissions, context, admission, now_s)
     else:
         _dispatch(admissions, context, admission, grant.unread_tokens, now_s)
 
 
-def handle_refusal(
+def handle_admission_refusal(
     admissions: Admissions, context: AdmissionContext, refusal: AdmissionRefusal, now_s: float
 ) -> None:
     """Record what an engine's owner reported with its refusal, and ask the next engine."""
@@ -176,8 +176,8 @@
     wait_s = refusal.retry_after_ms / 1000.0
     if admission.hop == 0 or wait_s < admission.retry_after_s:
         admission.retry_after_s = wait_s
-    if refusal.kept_tokens > admission.source.tokens:
-        admission.source = MemorySource(refusal.backend_server, refusal.kept_tokens)
+    if refusal.cached_tokens > admission.memory_source.tokens:
+        admission.memory_source = MemorySource(refusal.backend_server, refusal.cached_tokens)
     if admission.eager:
         # The prompt's home among all zones follows and counts as the first engine asked.
         admission.eager = False
@@ -197,7 +197,7 @@
     if admission is None or not admission.granted:
         return admission is not None
     account = get_account(
-        context.entry, make_pool_key(admission.request), context.entry_context.draw
+        context.ingress, make_pool_key(admission.request), context.ingress_context.draw
     )
     grow_charge(account, request_id, observed_units)
     if not admission.begun:
@@ -222,8 +222,8 @@
         return False
     if not admission.granted:
         return True
-    entry = context.entry
-    account = get_account(entry, make_pool_key(admission.request), context.entry_context.draw)
+    ingress = context.ingress
+    account = get_account(ingress, make_pool_key(admission.request), context.ingress_context.draw)
     cancel_charge(account, request_id)
     failed = reason not in BLAMELESS_RETRY_REASONS
     release = AdmissionRelease(request_id, admission.backend_server, False, failed)
@@ -232,12 +232,12 @@
     admission.begun = False
     admission.eager = False
     admission.hop = 0
-    update_queue_counts(entry, admission.request, 1)
-    if claim_retry(entry, context.entry_context, admission.request, reason, now_s):
-        context.entry_context.actions.add(RequestRequeued(request_id, reason))
+    update_queue_counts(ingress, admission.request, 1)
+    if claim_retry(ingress, context.ingress_context, admission.request, reason, now_s):
+        context.ingress_context.actions.add(RequestRequeued(request_id, reason))
         ask_next_engine(admissions, context, admission, now_s)
         return True
-    refusal = choose_last_refusal(context.entry_context, admission.request, now_s)
+    refusal = choose_last_refusal(context.ingress_context, admission.request, now_s)
     refuse_admission(admissions, context, admission, refusal, now_s)
     return True
 
@@ -249,7 +249,7 @@
             continue
         if admission.request.deadline_s <= now_s:
             refuse_admission(admissions, context, admission, RefusalReason.DEADLINE_PASSED, now_s)
-        elif admission.request.workspace not in context.entry_context.configuration.workspaces:
+        elif admission.request.workspace not in context.ingress_context.configuration.workspaces:
             reason = RefusalReason.CONFIGURATION_REMOVED
             refuse_admission(admissions, context, admission, reason, now_s)
         elif not is_usable_engine(context, admission.backend_server):
@@ -279,9 +279,9 @@
     otherwise.
     """
     request = admission.request
-    entry_context = context.entry_context
-    backoffs = context.entry.backoffs
-    wait_s = find_pool_backoff_s(backoffs, entry_context.configuration, request.pool, now_s)
+    ingress_context = context.ingress_context
+    backoffs = context.ingress.backoffs
+    wait_s = find_pool_backoff_s(backoffs, ingress_context.configuration, request.pool, now_s)
     if not wait_s:
         reason = RefusalReason.NO_BACKEND_SERVER
         refuse_admission(admissions, context, admission, reason, now_s)
@@ -301,42 +301,42 @@
     now_s: float,
 ) -> None:
     request = admission.request
-    entry = context.entry
-    options = context.entry_context.options
+    ingress = context.ingress
+    options = context.ingress_context.options
     admission.granted = True
     record_tier_admitted(admissions.full_tiers[request.pool], admission.tier, now_s)
     admission.unread_tokens = unread_tokens
-    update_queue_counts(entry, request, -1)
-    account = get_account(entry, make_pool_key(request), context.entry_context.draw)
-    priority_units = compute_virtual_service_units(entry, make_pool_key(request))
-    workspace = context.entry_context.configuration.workspaces.get(request.workspace)
+    update_queue_counts(ingress, request, -1)
+    account = get_account(ingress, make_pool_key(request), context.ingress_context.draw)
+    priority_units = compute_virtual_service_units(ingress, make_pool_key(request))
+    workspace = context.ingress_context.configuration.workspaces.get(request.workspace)
     share = 1.0 if workspace is None else workspace.share
     charge_estimate(account, request.request_id, float(find_share_tokens(request)), share)
-    attempt = entry.attempts.get(request.request_id, 0) + 1
-    entry.attempts[request.request_id] = attempt
+    attempt = ingress.attempts.get(request.request_id, 0) + 1
+    ingress.attempts[request.request_id] = attempt
     if attempt == 1:
         count_granted_request(context.shares, request, now_s)
-    entry.retry_budget = min(entry.retry_budget + options.retry_ratio, options.retry_burst)
+    ingress.retry_budget = min(ingress.retry_budget + options.retry_ratio, options.retry_burst)
     record_sent_parts(admissions, admission)
-    context.entry_context.actions.add(
+    context.ingress_context.actions.add(
         Dispatch(
             request.request_id,
             admission.backend_server,
             attempt,
             priority_units,
             now_s + options.grant_lease_s,
-            _choose_prompt_source(context, admission),
+            _choose_memory_source(context, admission),
         )
     )
 
 
-def _choose_prompt_source(context: AdmissionContext, admission: Admission) -> str:
+def _choose_memory_source(context: AdmissionContext, admission: Admission) -> str:
     """Return the engine that the cached beginning of the prompt is fetched from, or "".
 
     Nothing is fetched when the granted engine caches more of the prompt itself, which shows
     in that its owner expects fewer unread tokens than the fetch would leave.
     """
-    source = admission.offered_source
+    source = admission.offered_memory_source
     if not source.tokens or not is_usable_engine(context, source.backend_server):
         return ""
     left_tokens = max(admission.request.prompt_tokens - source.tokens, 1)
--- a/packages/core/src/myrtlehook_core/process/backoffs.py
+++ b/packages/core/src/myrtlehook_core/process/backoffs.py
@@ -2,8 +2,8 @@
 
 A server that rejects a request may say for how long the router should send it no more requests.
 The back-off applies to this router only: other routers learn of theirs from their own answers.
-Until it ends, the server is left out for new requests, retries and resumed streams; it takes no
-part in handing prompts over, and its load is not polled.
+Until it ends, the server is left out for new requests, retries and resumed streams; no
+prompts are handed over to or from it, and its load is not polled.
 
 The end of a back-off causes no burst: the server's owner grants only as many requests as fill its
 slots or keep an engine reading, as at any other time.
--- a/packages/core/src/myrtlehook_core/process/bidding.py
+++ b/packages/core/src/myrtlehook_core/process/bidding.py
@@ -197,13 +197,16 @@
 
 
 def send_holds_to_new_owners(
-    ingress: IngressState, before: dict[str, str], placement: Placement, outbox: MessageOutbox
+    ingress: IngressState,
+    previous_owners: dict[str, str],
+    placement: Placement,
+    outbox: MessageOutbox,
 ) -> None:
     """Send each new owner of a server the list of slots that this router holds there."""
     used = {running.backend_server for running in ingress.running.values()}
     for backend_server in sorted(used):
         owner = placement.server_owners.get(backend_server)
-        if owner is not None and before.get(backend_server) != owner:
+        if owner is not None and previous_owners.get(backend_server) != owner:
             send_hold_list(ingress, backend_server, owner, outbox)
 
 
--- a/packages/core/src/myrtlehook_core/process/bids.py
+++ b/packages/core/src/myrtlehook_core/process/bids.py
@@ -130,7 +130,7 @@
     return next(reversed(waiting))
 
 
-def record_grant(bids: PoolBids, router: str, workspace: str) -> None:
+def subtract_granted_request(bids: PoolBids, router: str, workspace: str) -> None:
     """Subtract a granted request from the router's bid."""
     bids.routers[router].workspace_bids[workspace].waiting_requests -= 1
 
--- a/packages/core/src/myrtlehook_core/process/cold_engines.py
+++ b/packages/core/src/myrtlehook_core/process/cold_engines.py
@@ -88,12 +88,12 @@
     return now_s < pace.cold_until_s
 
 
-def find_next_grant_s(pace: ColdPace, now_s: float) -> float:
+def find_paced_grant_s(pace: ColdPace, now_s: float) -> float:
     """Return the earliest time, from now on, at which the pace allows a grant."""
     return max(pace.next_grant_s, now_s) if is_cold(pace, now_s) else now_s
 
 
-def record_grant(pace: ColdPace, now_s: float) -> None:
+def delay_next_grant(pace: ColdPace, now_s: float) -> None:
     """Delay the next grant by the pace's interval."""
     pace.next_grant_s = now_s + pace.grant_interval_s
 
--- a/packages/core/src/myrtlehook_core/process/engine_decisions.py
+++ b/packages/core/src/myrtlehook_core/process/engine_decisions.py
@@ -7,7 +7,7 @@
 from myrtlehook_core.process.actions import ActionList, AdmissionDecided
 from myrtlehook_core.process.admission_messages import AdmissionGrant, AdmissionRefusal
 from myrtlehook_core.process.aim_demands import SHORTER_AIM_FRACTION, find_shortest_aim_s
-from myrtlehook_core.process.cold_engines import find_next_grant_s, is_cold, record_grant
+from myrtlehook_core.process.cold_engines import delay_next_grant, find_paced_grant_s, is_cold
 from myrtlehook_core.process.ejections import may_send_request
 from myrtlehook_core.process.engine_forecasts import forecast_waiting, order_waiting
 from myrtlehook_core.process.engine_loads import (
@@ -43,18 +43,18 @@
 
     loads: dict[str, EngineLoad] = field(default_factory=dict)
     refused_until_s: dict[str, float] = field(default_factory=dict)
-    """By fingerprint of a refused request, when the entry expires."""
+    """By client retry key of a refused request, when the entry expires."""
 
 
 @dataclass(slots=True)
 class QueueContext:
-    """What the queue functions use besides the state of the queues."""
+    """Dependencies of the queue functions besides the state of the queues."""
 
     options: CoreOptions
     configuration: Configuration
-    reachable: Callable[[str], bool]
-    out: ActionList
-    post: MessageOutbox
+    is_reachable: Callable[[str], bool]
+    actions: ActionList
+    outbox: MessageOutbox
 
 
 def grant_waiting(context: QueueContext, name: str, load: EngineLoad, now_s: float) -> None:
@@ -78,7 +78,7 @@
         grant_waiting(context, name, load, now_s)
 
 
-def find_next_grant(queues: EngineQueues, options: CoreOptions, now_s: float) -> float:
+def find_next_grant_s(queues: EngineQueues, options: CoreOptions, now_s: float) -> float:
     """Return when the next engine's unread backlog or cold pace allows a grant, or infinity.
 
     Engines that lack slots or memory instead are granted more when a request there ends.
@@ -88,7 +88,7 @@
         if load.waiting and (load.reading or is_cold(load.pace, now_s)):
             ahead_s = compute_window_tokens(load, options) / load.model.rate_tokens_per_s
             due_s = max(
-                estimate_read_end_s(load, now_s) - ahead_s, find_next_grant_s(load.pace, now_s)
+                estimate_read_end_s(load, now_s) - ahead_s, find_paced_grant_s(load.pace, now_s)
             )
             if due_s > now_s:
                 next_s = min(next_s, due_s)
@@ -113,7 +113,11 @@
         return False
     if not context.options.refuses_at_arrival:
         return True
-    if (waiting.returned or waiting.unavoidably_late) and waiting.hop == 0 and waiting.tier == 0:
+    if (
+        (waiting.is_client_retry or waiting.unavoidably_late)
+        and waiting.hop == 0
+        and waiting.tier == 0
+    ):
         return True
     own_read_s = estimate_unread_tokens(load, waiting) / load.model.rate_tokens_per_s
     lateness_s = 0.0
@@ -123,7 +127,7 @@
         behind = behind or other is waiting
         if not behind:
             continue
-        if other is not waiting and (other.returned or other.unavoidably_late):
+        if other is not waiting and (other.is_client_retry or other.unavoidably_late):
             continue
         if other.rank > waiting.rank:
             # Requests of a higher rank, from workspaces above their share, may become late.
@@ -151,7 +155,7 @@
     """Refuse waiting requests that cannot or should not be served at their engine.
 
     These are all requests of an engine that is unusable or ejected, those past their
-    deadline, and those above a share whose answers are forecast to begin too late.
+    deadline, and those beyond a share whose answers are forecast to begin too late.
     """
     usable = _is_usable(context, name) and now_s >= load.health.ejected_until_s
     for waiting in list(load.waiting.values()):
@@ -163,7 +167,7 @@
             _refuse(queues, context, name, load, forecast.waiting, now_s, forecast.begin_s)
 
 
-def compute_fingerprint(waiting: WaitingAdmission) -> str:
+def make_client_retry_key(waiting: WaitingAdmission) -> str:
     """Return a key that stays the same when a client resends a request with another id."""
     last = waiting.parts[-1].part_id if waiting.parts else ""
     return f"{waiting.workspace}/{last}/{waiting.prompt_tokens}/{waiting.output_tokens}"
@@ -176,7 +180,7 @@
         return False
     if server.leaving:
         return False
-    if now_s < find_next_grant_s(load.pace, now_s):
+    if now_s < find_paced_grant_s(load.pace, now_s):
         return False
     return now_s >= load.owned_since_s + context.options.adopt_delay_s
 
@@ -211,7 +215,7 @@
     """Return the latest time at which an answer may begin for its request to be admitted.
 
     This leaves a margin before the first-token target. An oversized prompt uses the margin up
-    even on an idle engine, and may take the whole target at its first engine: otherwise every
+    even on an idle engine, and may use the whole target at its first engine: otherwise every
     engine would refuse it.
     """
     if waiting.oversized and waiting.hop == 0:
@@ -254,10 +258,10 @@
 ) -> None:
     decided = _describe_decision(context, name, load, waiting, now_s)
     item = grant_admission(load, waiting, now_s)
-    record_grant(load.pace, now_s)
+    delay_next_grant(load.pace, now_s)
     grant = AdmissionGrant(waiting.request_id, name, item.unread_tokens, decided.estimate)
-    context.post.add(waiting.router_id, grant)
-    context.out.add(decided)
+    context.outbox.add(waiting.router_id, grant)
+    context.actions.add(decided)
 
 
 def _describe_decision(
@@ -268,7 +272,7 @@
     now_s: float,
     retry_after_ms: int | None = None,
 ) -> AdmissionDecided:
-    """Return a record of a decision and the state it is based on, before it takes effect."""
+    """Return a record of a decision and the state it is based on, before it is carried out."""
     return AdmissionDecided(
         request_id=waiting.request_id,
         backend_server=name,
@@ -297,11 +301,11 @@
 ) -> None:
     """Refuse a request, and report when the engine could have admitted it."""
     wait_ms = max(round((available_at_s - now_s) * 1000.0), MIN_RETRY_AFTER_MS)
-    context.out.add(_describe_decision(context, name, load, waiting, now_s, wait_ms))
+    context.actions.add(_describe_decision(context, name, load, waiting, now_s, wait_ms))
     del load.waiting[waiting.request_id]
     if not waiting.eager:
-        queues.refused_until_s[compute_fingerprint(waiting)] = now_s + REFUSAL_MEMORY_S
-    sound = _is_usable(context, name) and not load.health.is_failing
-    kept = count_cached_tokens(load.cache, waiting.parts) if sound else 0
-    refusal = AdmissionRefusal(waiting.request_id, name, wait_ms, kept, waiting.eager)
-    context.post.add(waiting.router_id, refusal)
+        queues.refused_until_s[make_client_retry_key(waiting)] = now_s + REFUSAL_MEMORY_S
+    is_healthy = _is_usable(context, name) and not load.health.is_failing
+    cached = count_cached_tokens(load.cache, waiting.parts) if is_healthy else 0
+    refusal = AdmissionRefusal(waiting.request_id, name, wait_ms, cached, waiting.eager)
+    context.outbox.add(waiting.router_id, refusal)
--- a/packages/core/src/myrtlehook_core/process/engine_forecasts.py
+++ b/packages/core/src/myrtlehook_core/process/engine_forecasts.py
@@ -3,7 +3,7 @@
 import heapq
 from dataclasses import dataclass
 
-from myrtlehook_core.process.cold_engines import find_next_grant_s
+from myrtlehook_core.process.cold_engines import find_paced_grant_s
 from myrtlehook_core.process.engine_loads import (
     EngineLoad,
     WaitingAdmission,
@@ -30,15 +30,15 @@
     """
     model = load.model
     read_end_s = estimate_read_end_s(load, now_s)
-    opening_s = find_next_grant_s(load.pace, now_s)
+    next_grant_s = find_paced_grant_s(load.pace, now_s)
     ends_s = _forecast_ends(load, read_end_s, now_s)
     found = []
     for waiting in order_waiting(load, now_s):
-        start_s = max(read_end_s, opening_s)
+        start_s = max(read_end_s, next_grant_s)
         if len(ends_s) >= slots > 0:
             start_s = max(start_s, heapq.heappop(ends_s))
         if start_s < load.pace.cold_until_s:
-            opening_s = start_s + load.pace.grant_interval_s
+            next_grant_s = start_s + load.pace.grant_interval_s
         read_end_s = start_s + estimate_unread_tokens(load, waiting) / model.rate_tokens_per_s
         begin_s = read_end_s + model.delay_s
         heapq.heappush(ends_s, begin_s + waiting.output_tokens * model.token_s)
@@ -58,7 +58,7 @@
     def rank(item: WaitingAdmission) -> tuple[tuple[int, bool], int, bool, bool, float]:
         yield_s = LATE_YIELD_FRACTION * (item.deadline_s - item.asked_at_s)
         yields = item.unavoidably_late and now_s < item.asked_at_s + yield_s
-        return (item.rank, item.priority, yields, not item.returned, item.latest_start_s)
+        return (item.rank, item.priority, yields, not item.is_client_retry, item.latest_start_s)
 
     return sorted(load.waiting.values(), key=rank)
 
--- a/packages/core/src/myrtlehook_core/process/engine_loads.py
+++ b/packages/core/src/myrtlehook_core/process/engine_loads.py
@@ -54,8 +54,8 @@
     """Whether another engine is asked if this one cannot begin the answer soon."""
     above_share: bool = False
     """Whether its workspace requests more than its share."""
-    returned: bool = False
-    """Whether it was refused before and its client has sent it again."""
+    is_client_retry: bool = False
+    """Whether an owner refused it before and its client has now sent it again."""
     oversized: bool = False
     """Whether its answer would use up the margin before its first-token target even if the engine
     were idle."""
@@ -153,8 +153,8 @@
 def compute_window_tokens(load: EngineLoad, options: CoreOptions) -> float:
     """Return how many unread tokens keep the engine reading until a next grant arrives.
 
-    The owner learns of events at the engine with the model's delay, and deciding on a grant in
-    response takes up to one turn of this process's event loop.
+    The owner learns of events at the engine with the model's delay, and then needs up to one turn
+    of this process's event loop to decide on a grant.
     """
     model = load.model
     window_s = options.window_gain * model.delay_s + options.window_margin_s
--- a/packages/core/src/myrtlehook_core/process/engine_queues.py
+++ b/packages/core/src/myrtlehook_core/process/engine_queues.py
@@ -24,8 +24,8 @@
     EngineQueues,
     QueueContext,
     admit_or_refuse,
-    compute_fingerprint,
     grant_waiting,
+    make_client_retry_key,
     refuse_unservable_admissions,
 )
 from myrtlehook_core.process.engine_forecasts import set_start_limit
@@ -75,7 +75,7 @@
             mark_cold(queues.loads[name].pace, cold_until_s, now_s)
 
 
-def receive_request(
+def handle_admission_request(
     queues: EngineQueues,
     context: QueueContext,
     sender: str,
@@ -94,13 +94,13 @@
         grant = AdmissionGrant(
             message.request_id, message.backend_server, held.unread_tokens, estimate
         )
-        context.post.add(sender, grant)
+        context.outbox.add(sender, grant)
         return
     if message.request_id in load.waiting:
         return
     waiting = _make_waiting(sender, message, now_s)
-    known = compute_fingerprint(waiting) in queues.refused_until_s
-    waiting.returned = known and context.options.favours_returned
+    known = make_client_retry_key(waiting) in queues.refused_until_s
+    waiting.is_client_retry = known and context.options.favours_returned
     set_start_limit(load, waiting, context.options.aim_slack_part, now_s)
     if message.hop == 0:
         record_aim_demand(
@@ -111,7 +111,7 @@
         grant_waiting(context, message.backend_server, load, now_s)
 
 
-def receive_progress(
+def handle_admission_progress(
     queues: EngineQueues, context: QueueContext, message: AdmissionProgress, now_s: float
 ) -> None:
     """Record that an answer has begun, and grant what the engine can read next."""
@@ -124,7 +124,7 @@
         grant_waiting(context, message.backend_server, load, now_s)
 
 
-def receive_admission_release(
+def handle_admission_release(
     queues: EngineQueues, context: QueueContext, message: AdmissionRelease, now_s: float
 ) -> None:
     """Remove a request that has ended or was withdrawn, and eject an engine that keeps failing."""
@@ -138,11 +138,11 @@
     ended = known and (message.ran or message.failed)
     failed = message.failed and context.options.ejects_servers
     if ended and record_outcome(load.health, failed, now_s):
-        context.out.add(ServerEjected(message.backend_server, load.health.ejected_until_s))
+        context.actions.add(ServerEjected(message.backend_server, load.health.ejected_until_s))
     grant_waiting(context, message.backend_server, load, now_s)
 
 
-def apply_held_admissions(
+def handle_held_admissions(
     queues: EngineQueues, context: QueueContext, sender: str, message: HeldAdmissions, now_s: float
 ) -> None:
     """Update what is recorded of a router's running requests from the list it reports.
@@ -153,11 +153,11 @@
     if load is None:
         return
     listed = {row.request_id for row in message.rows}
-    settled_s = now_s - context.options.grant_lease_s
+    settled_before_s = now_s - context.options.grant_lease_s
     for request_id, item in list(load.granted.items()):
         if item.router_id != sender or request_id in listed:
             continue
-        if item.granted_at_s <= settled_s:
+        if item.granted_at_s <= settled_before_s:
             drop_granted(load, request_id)
     if message.estimate is not None and context.options.learns_engines:
         load.model = adopt_estimate(load.model, message.estimate, now_s)
@@ -199,7 +199,7 @@
     load.last_answer_at_s = now_s
     until_s = now_s + load.pace.default_cold_s
     if reason and mark_cold(load.pace, until_s, now_s):
-        context.out.add(ColdEngineDetected(name, until_s, reason))
+        context.actions.add(ColdEngineDetected(name, until_s, reason))
 
 
 def _find_similar_estimate(
@@ -243,10 +243,10 @@
 def _drop_unreachable(load: EngineLoad, context: QueueContext) -> None:
     """Drop the requests of unreachable routers, whose connections to engines have ended too."""
     for request_id, item in list(load.granted.items()):
-        if not context.reachable(item.router_id):
+        if not context.is_reachable(item.router_id):
             drop_granted(load, request_id)
     for request_id, waiting in list(load.waiting.items()):
-        if not context.reachable(waiting.router_id):
+        if not context.is_reachable(waiting.router_id):
             del load.waiting[request_id]
 
 
--- a/packages/core/src/myrtlehook_core/process/event_handlers.py
+++ b/packages/core/src/myrtlehook_core/process/event_handlers.py
@@ -46,7 +46,7 @@
 from myrtlehook_core.process.orders import find_order
 from myrtlehook_core.process.owners import (
     count_free_in_pool,
-    receive_load,
+    handle_load,
     tick_owner,
 )
 from myrtlehook_core.process.probing import (
@@ -98,34 +98,34 @@
 
 
 def _on_request(core: "RouterCore", event: events.RequestArrived, now_s: float) -> None:
-    entry = core.entry
-    if is_admitted_by_tokens(core.entry_context(), event.request):
-        intake = event.intake or count_arrival(core.shares, event.request, now_s)
-        open_admission(core.admissions, core.admission_context(), event.request, intake, now_s)
+    ingress = core.ingress
+    if is_admitted_by_tokens(core.ingress_context(), event.request):
+        standing = event.standing or count_arrival(core.shares, event.request, now_s)
+        open_admission(core.admissions, core.admission_context(), event.request, standing, now_s)
         return
-    key = accept_request(entry, core.entry_context(), event.request, now_s)
-    if key is None or key not in entry.unreported_keys:
+    key = accept_request(ingress, core.ingress_context(), event.request, now_s)
+    if key is None or key not in ingress.unreported_keys:
         return
-    entry.unreported_keys.discard(key)
+    ingress.unreported_keys.discard(key)
     if core.options.exchange_totals:
         # Reported at once, so that the ledger raises the total of a workspace that was idle to
         # the floor before it is served.
-        send_reports(entry, core.placement, core.options, core.draw, core.outbox, {key}, now_s)
+        send_reports(ingress, core.placement, core.options, core.draw, core.outbox, {key}, now_s)
     context = core.owner_context()
     free = count_free_in_pool(core.owner, context, key.pool, now_s)
     preferred = core.identity.router_id if free > 0 else None
-    send_first_bid(entry, core.placement, event.request, preferred, core.draw, core.outbox, now_s)
+    send_first_bid(ingress, core.placement, event.request, preferred, core.draw, core.outbox, now_s)
 
 
 def _on_abandoned(core: "RouterCore", event: events.RequestAbandoned, now_s: float) -> None:
     if not abandon_admission(core.admissions, core.admission_context(), event.request_id):
-        abandon_request(core.entry, event.request_id)
+        abandon_request(core.ingress, event.request_id)
 
 
 def _on_service(core: "RouterCore", event: events.ServiceObserved, now_s: float) -> None:
     context = core.admission_context()
     if not record_progress(core.admissions, context, event.request_id, event.observed_units):
-        record_observed_service(core.entry, event.request_id, event.observed_units)
+        record_observed_service(core.ingress, event.request_id, event.observed_units)
 
 
 def _on_ended(core: "RouterCore", event: events.RunEnded, now_s: float) -> None:
@@ -135,7 +135,7 @@
         record_completed_request(core, request, now_s)
     if end_admission(core.admissions, context, event, now_s):
         return
-    ended = end_run(core.entry, event.request_id, event.cost_units, now_s, event.failed)
+    ended = end_run(core.ingress, event.request_id, event.cost_units, now_s, event.failed)
     _send_release(core, ended)
 
 
@@ -143,7 +143,7 @@
     admission = core.admissions.open.get(request_id)
     if admission is not None:
         return admission.request
-    running = core.entry.running.get(request_id)
+    running = core.ingress.running.get(request_id)
     return None if running is None else running.request
 
 
@@ -151,8 +151,8 @@
     admission_context = core.admission_context()
     if retry_admission(core.admissions, admission_context, event.request_id, event.reason, now_s):
         return
-    context = core.entry_context()
-    ended = retry_run(core.entry, context, event.request_id, event.reason, now_s)
+    context = core.ingress_context()
+    ended = retry_run(core.ingress, context, event.request_id, event.reason, now_s)
     _send_release(core, ended)
 
 
@@ -165,7 +165,7 @@
     if event.leaving:
         row = LeavingRow(event.backend_server, event.incarnation)
         record_leaving(core.leaving_servers, row, compute_news_sends(core.table))
-    receive_load(core.owner, core.owner_context(), event, now_s)
+    handle_load(core.owner, core.owner_context(), event, now_s)
     order = find_order(core.configuration, event)
     if order is not None and event.backend_server in core.owner.servers:
         core.actions.add(order)
@@ -229,20 +229,20 @@
         reporters = Reporters(core.identity.router_id, core.placement.eligible, near)
         send_demand_reports(core.shares, reporters, core.options.quota_window_s, core.outbox, now_s)
         send_zone_reports(core.shares, reporters, core.outbox, now_s)
-    entry = core.entry
-    if now_s >= entry.next_refresh_s:
-        entry.next_refresh_s = now_s + core.options.refresh_interval_s
-        entry.next_bid_s = now_s + BID_DELAY_AFTER_REPORT_S
+    ingress = core.ingress
+    if now_s >= ingress.next_refresh_s:
+        ingress.next_refresh_s = now_s + core.options.refresh_interval_s
+        ingress.next_bid_s = now_s + BID_DELAY_AFTER_REPORT_S
         _send_service_reports(core, now_s)
-    if now_s >= entry.next_bid_s:
-        entry.next_bid_s = math.inf
-        repeat_releases(entry, core.placement, core.outbox)
-        send_bids(entry, core.placement, core.options, core.outbox, now_s)
-    if now_s >= entry.next_hold_s:
-        entry.next_hold_s = now_s + core.options.hold_interval_s
-        send_hold_summaries(entry, core.placement, core.outbox)
-    if now_s >= entry.next_sweep_s:
-        entry.next_sweep_s = now_s + SWEEP_INTERVAL_S
+    if now_s >= ingress.next_bid_s:
+        ingress.next_bid_s = math.inf
+        repeat_releases(ingress, core.placement, core.outbox)
+        send_bids(ingress, core.placement, core.options, core.outbox, now_s)
+    if now_s >= ingress.next_hold_s:
+        ingress.next_hold_s = now_s + core.options.hold_interval_s
+        send_hold_summaries(ingress, core.placement, core.outbox)
+    if now_s >= ingress.next_sweep_s:
+        ingress.next_sweep_s = now_s + SWEEP_INTERVAL_S
         _clean_up(core, now_s)
 
 
@@ -260,22 +260,24 @@
         pools = core.configuration.pools
         # Accountants compute the shares of pools whose admission counts tokens.
         token_pools = {name for name, pool in pools.items() if pool.engine_capacity is not None}
-        keys = {key for key in find_keys_to_report(core.entry) if key.pool not in token_pools}
-        send_reports(core.entry, core.placement, core.options, core.draw, core.outbox, keys, now_s)
+        keys = {key for key in find_keys_to_report(core.ingress) if key.pool not in token_pools}
+        send_reports(
+            core.ingress, core.placement, core.options, core.draw, core.outbox, keys, now_s
+        )
 
 
 def _clean_up(core: "RouterCore", now_s: float) -> None:
-    refuse_unservable(core.entry, core.entry_context(), now_s)
-    drop_idle_queues(core.entry, now_s, core.options.idle_drop_s)
+    refuse_unservable(core.ingress, core.ingress_context(), now_s)
+    drop_idle_queues(core.ingress, now_s, core.options.idle_drop_s)
     drop_idle_accounts(core.ledger, now_s, core.options)
     forget_old_evidence(core.quarantine, now_s)
     forget_removed_servers(core.leaving_servers, core.configuration.backend_servers, now_s)
-    drop_ended_backoffs(core.entry.backoffs, now_s)
+    drop_ended_backoffs(core.ingress.backoffs, now_s)
     resend_sound_run_reports(core, now_s)
     sweep_source(core, now_s)
 
 
-# The event parameter is `Any` here because each handler takes its own event type.
+# The event parameter is `Any` here because each handler accepts its own event type.
 EVENT_HANDLERS: dict[type, Callable[["RouterCore", Any, float], None]] = {
     events.RequestArrived: _on_request,
     events.RequestAbandoned: _on_abandoned,
--- a/packages/core/src/myrtlehook_core/process/events.py
+++ b/packages/core/src/myrtlehook_core/process/events.py
@@ -22,7 +22,7 @@
     """A request has passed the checks at the ingress and needs a slot or an engine."""
 
     request: RequestSpecification
-    intake: ShareStanding | None = None
+    standing: ShareStanding | None = None
     """How it relates to its workspace's share; None if it has not been counted there yet."""
 
 
@@ -48,9 +48,9 @@
     request_id: str
     cost_units: float
     failed: bool = False
-    """The server broke off its response, or responded with a failure."""
+    """The server broke off its answer, or answered with a failure."""
     completed: bool = False
-    """The response arrived in full, whatever it says, so the request did not end the server."""
+    """The answer arrived in full, whatever it says, so the request did not end the server."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,16 +66,16 @@
     began_s: float
     """When the request was sent there."""
     ended_s: float
-    """When its response broke off."""
+    """When its answer broke off."""
 
 
 @dataclass(frozen=True, slots=True)
 class ServerNoticed:
-    """A backend server has reported its own state in the headers of a response."""
+    """A backend server has reported its own state in the headers of an answer."""
 
     backend_server: str
     request_id: str
-    """The request that the response belongs to."""
+    """The request that the answer belongs to."""
     leaving: bool = False
     backoff_until_s: float = 0.0
     """The end of the back-off that it asks this router for; 0 if it asks for none."""
--- a/packages/core/src/myrtlehook_core/process/full_tiers.py
+++ b/packages/core/src/myrtlehook_core/process/full_tiers.py
@@ -2,10 +2,10 @@
 
 A workspace that floods the pool requests many times its share, and nearly all of that is refused.
 Each refusal costs the ingress router, and the owners of up to three engines, a decision and a
-message, and takes processor time from requests that are within shares. So a router that has seen
-several requests of a tier refused in a row refuses most of the next ones itself, and sends some as
-trials to detect free capacity. In a simulated history of a workspace that requests fifty times its
-share, owners refuse 2,134 times instead of 8,152, and engines begin as many answers.
+message, and so processor time that requests within shares need. A router that has seen several
+requests of a tier refused in a row therefore refuses most of the next ones itself, and sends some
+as trials to detect free capacity. In a simulated history of a workspace that requests fifty times
+its share, owners refuse 2,134 times instead of 8,152, and engines begin as many answers.
 """
 
 import math
--- a/packages/core/src/myrtlehook_core/process/ledgers.py
+++ b/packages/core/src/myrtlehook_core/process/ledgers.py
@@ -71,14 +71,14 @@
     report: Report,
     now_s: float,
     options: CoreOptions,
-    reachable: Reachable,
+    is_reachable: Reachable,
 ) -> tuple[TotalRow, ...]:
     """Merge a report into the ledger and return the totals for its rows."""
     for floor in report.floors:
         known_units = ledger.floors_units.get(floor.pool, 0)
         ledger.floors_units[floor.pool] = max(known_units, floor.floor_units)
     return tuple(
-        _merge_report_row(ledger, sender, row, now_s, options, reachable) for row in report.rows
+        _merge_report_row(ledger, sender, row, now_s, options, is_reachable) for row in report.rows
     )
 
 
@@ -99,7 +99,7 @@
     row: ReportRow,
     now_s: float,
     options: CoreOptions,
-    reachable: Reachable,
+    is_reachable: Reachable,
 ) -> TotalRow:
     key = PoolKey(row.workspace, row.pool)
     account = ledger.accounts.get(key)
@@ -107,7 +107,7 @@
         account = LedgerAccount(created_at_s=now_s)
         ledger.accounts[key] = account
     account.reported_at_s = now_s
-    _merge_row(account, sender, row, now_s, options, reachable)
+    _merge_row(account, sender, row, now_s, options, is_reachable)
     _adopt_handed_over_total(account, row, now_s, options)
     _update_activity(account, ledger.floors_units.get(row.pool, 0), row, now_s, options)
     served_units = account.rows[sender, row.row_id].served_units
@@ -121,7 +121,7 @@
     row: ReportRow,
     now_s: float,
     options: CoreOptions,
-    reachable: Reachable,
+    is_reachable: Reachable,
 ) -> None:
     known = account.rows.get((sender, row.row_id))
     if known is None:
@@ -133,7 +133,7 @@
         growth_units = row.served_units - known.served_units
         known.sequence = row.sequence
         known.served_units = row.served_units
-        _update_growth(account, known, growth_units, now_s, options, reachable)
+        _update_growth(account, known, growth_units, now_s, options, is_reachable)
 
 
 def _update_growth(
@@ -142,13 +142,13 @@
     growth_units: float,
     now_s: float,
     options: CoreOptions,
-    reachable: Reachable,
+    is_reachable: Reachable,
 ) -> None:
     elapsed_s = max(now_s - row.reported_at_s, 1e-3)
     row.reported_at_s = now_s
     weight = 1.0 - (1.0 - GROWTH_WEIGHT) ** (elapsed_s / options.refresh_interval_s)
     row.growth_units_per_s += weight * (growth_units / elapsed_s - row.growth_units_per_s)
-    unreachable = [other for other in account.rows.values() if not reachable(other.router_id)]
+    unreachable = [other for other in account.rows.values() if not is_reachable(other.router_id)]
     partitioned = [
         other for other in unreachable if now_s - other.reported_at_s < options.cut_memory_s
     ]
--- a/packages/core/src/myrtlehook_core/process/message_handlers.py
+++ b/packages/core/src/myrtlehook_core/process/message_handlers.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from myrtlehook_core.process.accountants import describe_level, record_demand
+from myrtlehook_core.process.accountants import describe_level, record_demand_report
 from myrtlehook_core.process.actions import (
     MessageDropped,
 )
@@ -17,16 +17,16 @@
     HeldAdmissions,
     ShareLevel,
 )
-from myrtlehook_core.process.admissions import handle_grant, handle_refusal
+from myrtlehook_core.process.admissions import handle_admission_grant, handle_admission_refusal
 from myrtlehook_core.process.bidding import (
     send_bid,
     send_hold_list,
 )
 from myrtlehook_core.process.engine_queues import (
-    apply_held_admissions,
-    receive_admission_release,
-    receive_progress,
-    receive_request,
+    handle_admission_progress,
+    handle_admission_release,
+    handle_admission_request,
+    handle_held_admissions,
 )
 from myrtlehook_core.process.ingress import (
     record_totals,
@@ -56,11 +56,11 @@
     Totals,
 )
 from myrtlehook_core.process.owners import (
-    receive_bid,
-    receive_early_charge,
-    receive_hold_list,
-    receive_hold_summary,
-    receive_release,
+    handle_bid,
+    handle_early_charge,
+    handle_hold_list,
+    handle_hold_summary,
+    handle_release,
 )
 from myrtlehook_core.process.probing import (
     announce_news_in_zone,
@@ -78,7 +78,7 @@
 )
 from myrtlehook_core.process.quarantine_messages import ServerEndReport, SoundRunReport
 from myrtlehook_core.process.runs import (
-    apply_grant,
+    handle_grant,
 )
 from myrtlehook_core.process.server_notice_handlers import handle_leaving_notice
 from myrtlehook_core.process.shares import apply_level, record_zone_report
@@ -98,38 +98,38 @@
 
 
 def _handle_bid(core: "RouterCore", sender: str, message: Bid, now_s: float) -> None:
-    if not receive_bid(core.owner, core.owner_context(), sender, message, now_s):
+    if not handle_bid(core.owner, core.owner_context(), sender, message, now_s):
         core.actions.add(MessageDropped(DropReason.STALE_MESSAGE))
 
 
 def _handle_early_charge(
     core: "RouterCore", sender: str, message: EarlyCharge, now_s: float
 ) -> None:
-    receive_early_charge(core.owner, core.owner_context(), message, now_s)
+    handle_early_charge(core.owner, core.owner_context(), message, now_s)
 
 
 def _handle_grant(core: "RouterCore", sender: str, message: Grant, now_s: float) -> None:
-    bid_again = apply_grant(core.entry, core.entry_context(), sender, message, now_s)
+    bid_again = handle_grant(core.ingress, core.ingress_context(), sender, message, now_s)
     if bid_again:
-        send_bid(core.entry, message.pool, sender, core.outbox, now_s)
+        send_bid(core.ingress, message.pool, sender, core.outbox, now_s)
 
 
 def _handle_release(core: "RouterCore", sender: str, message: Release, now_s: float) -> None:
-    receive_release(core.owner, core.owner_context(), sender, message, now_s)
+    handle_release(core.owner, core.owner_context(), sender, message, now_s)
 
 
 def _handle_hold_summary(
     core: "RouterCore", sender: str, message: HoldSummary, now_s: float
 ) -> None:
-    receive_hold_summary(core.owner, core.owner_context(), sender, message, now_s)
+    handle_hold_summary(core.owner, core.owner_context(), sender, message, now_s)
 
 
 def _handle_hold_query(core: "RouterCore", sender: str, message: HoldQuery, now_s: float) -> None:
-    send_hold_list(core.entry, message.backend_server, sender, core.outbox)
+    send_hold_list(core.ingress, message.backend_server, sender, core.outbox)
 
 
 def _handle_hold_list(core: "RouterCore", sender: str, message: HoldList, now_s: float) -> None:
-    receive_hold_list(core.owner, core.owner_context(), sender, message, now_s)
+    handle_hold_list(core.owner, core.owner_context(), sender, message, now_s)
 
 
 def _handle_report(core: "RouterCore", sender: str, message: Report, now_s: float) -> None:
@@ -139,7 +139,7 @@
 
 
 def _handle_totals(core: "RouterCore", sender: str, message: Totals, now_s: float) -> None:
-    record_totals(core.entry, message.rows, now_s)
+    record_totals(core.ingress, message.rows, now_s)
 
 
 def _handle_probe(core: "RouterCore", sender: str, message: Probe, now_s: float) -> None:
@@ -209,37 +209,37 @@
 def _handle_admission_request(
     core: "RouterCore", sender: str, message: AdmissionRequest, now_s: float
 ) -> None:
-    receive_request(core.engine_queues, core.queue_context(), sender, message, now_s)
+    handle_admission_request(core.engine_queues, core.queue_context(), sender, message, now_s)
 
 
 def _handle_admission_grant(
     core: "RouterCore", sender: str, message: AdmissionGrant, now_s: float
 ) -> None:
-    handle_grant(core.admissions, core.admission_context(), sender, message, now_s)
+    handle_admission_grant(core.admissions, core.admission_context(), sender, message, now_s)
 
 
 def _handle_admission_refusal(
     core: "RouterCore", sender: str, message: AdmissionRefusal, now_s: float
 ) -> None:
-    handle_refusal(core.admissions, core.admission_context(), message, now_s)
+    handle_admission_refusal(core.admissions, core.admission_context(), message, now_s)
 
 
 def _handle_admission_progress(
     core: "RouterCore", sender: str, message: AdmissionProgress, now_s: float
 ) -> None:
-    receive_progress(core.engine_queues, core.queue_context(), message, now_s)
+    handle_admission_progress(core.engine_queues, core.queue_context(), message, now_s)
 
 
 def _handle_admission_release(
     core: "RouterCore", sender: str, message: AdmissionRelease, now_s: float
 ) -> None:
-    receive_admission_release(core.engine_queues, core.queue_context(), message, now_s)
+    handle_admission_release(core.engine_queues, core.queue_context(), message, now_s)
 
 
 def _handle_held_admissions(
     core: "RouterCore", sender: str, message: HeldAdmissions, now_s: float
 ) -> None:
-    apply_held_admissions(core.engine_queues, core.queue_context(), sender, message, now_s)
+    handle_held_admissions(core.engine_queues, core.queue_context(), sender, message, now_s)
 
 
 def _handle_demand_report(
@@ -255,7 +255,7 @@
             core.outbox.add(sender, level)
         return
     configured_tokens = limits.tokens_per_s * options.quota_window_s * options.capacity_factor
-    level = record_demand(core.shares.accounts, sender, message, configured_tokens, now_s)
+    level = record_demand_report(core.shares.accounts, sender, message, configured_tokens, now_s)
     core.outbox.add(sender, level)
     account = core.shares.accounts[message.pool]
     level_report = describe_level(account, level, configured_tokens, now_s)
@@ -267,7 +267,7 @@
     apply_level(core.shares, message, now_s)
 
 
-# The message parameter is `Any` here because each handler takes its own message type.
+# The message parameter is `Any` here because each handler accepts its own message type.
 MESSAGE_HANDLERS: dict[type, Callable[["RouterCore", str, Any, float], None]] = {
     DemandReport: _handle_demand_report,
     ShareLevel: _handle_share_level,
--- a/packages/core/src/myrtlehook_core/process/messages.py
+++ b/packages/core/src/myrtlehook_core/process/messages.py
@@ -74,7 +74,7 @@
     bid_sent_at_s: float
     bid_row: BidRow
     failed: bool = False
-    """The server did not serve the request, or broke off its response."""
+    """The server did not serve the request, or broke off its answer."""
 
 
 class HoldSummary(msgspec.Struct, frozen=True, array_like=True, tag=4):
--- a/packages/core/src/myrtlehook_core/process/neighbours.py
+++ b/packages/core/src/myrtlehook_core/process/neighbours.py
@@ -45,29 +45,31 @@
     """Accumulated fraction of connections to pass on; at each whole number one is passed."""
 
 
-def passes_on(
-    neighbours: Neighbours, options: CoreOptions, busy_part: float, is_crowded: bool
+def should_pass_on(
+    neighbours: Neighbours, options: CoreOptions, busy_fraction: float, is_crowded: bool
 ) -> bool:
     """Count a new connection, and return whether to pass it to another router.
 
-    :param busy_part: the fraction of its processor time that this router uses.
+    :param busy_fraction: the fraction of its processor time that this router uses.
     :param is_crowded: whether client connections nearly reach this router's limit.
     """
-    neighbours.passing_credit += 1.0 if is_crowded else _compute_passed_fraction(options, busy_part)
+    neighbours.passing_credit += (
+        1.0 if is_crowded else _compute_passed_fraction(options, busy_fraction)
+    )
     if neighbours.passing_credit < 1.0:
         return False
     neighbours.passing_credit -= 1.0
     return True
 
 
-def _compute_passed_fraction(options: CoreOptions, busy_part: float) -> float:
+def _compute_passed_fraction(options: CoreOptions, busy_fraction: float) -> float:
     """Return the fraction of new connections to pass on; it rises between the two thresholds."""
-    if busy_part >= options.passing_all_part:
+    if busy_fraction >= options.passing_all_part:
         return 1.0
-    if busy_part <= options.passing_starts_part:
+    if busy_fraction <= options.passing_starts_part:
         return 0.0
-    span_part = options.passing_all_part - options.passing_starts_part
-    return (busy_part - options.passing_starts_part) / span_part
+    span_fraction = options.passing_all_part - options.passing_starts_part
+    return (busy_fraction - options.passing_starts_part) / span_fraction
 
 
 def choose_neighbour(
@@ -88,13 +90,13 @@
     return table.members[chosen]
 
 
-def note_opened(neighbours: Neighbours, router_id: str) -> None:
+def record_opened(neighbours: Neighbours, router_id: str) -> None:
     """Count a connection that was passed to a neighbour."""
     count = neighbours.open_connections.get(router_id, 0)
     neighbours.open_connections[router_id] = count + 1
 
 
-def note_closed(neighbours: Neighbours, router_id: str) -> None:
+def record_closed(neighbours: Neighbours, router_id: str) -> None:
     """Count a passed connection as closed."""
     count = neighbours.open_connections.get(router_id, 0) - 1
     if count > 0:
@@ -103,7 +105,7 @@
         neighbours.open_connections.pop(router_id, None)
 
 
-def note_short(neighbours: Neighbours, router_id: str, now_s: float) -> None:
+def record_short(neighbours: Neighbours, router_id: str, now_s: float) -> None:
     """Record that a neighbour refused a connection, so that it is not asked again for a while."""
     neighbours.short_until_s[router_id] = now_s + SHORT_BACKOFF_S
 
--- a/packages/core/src/myrtlehook_core/process/options.py
+++ b/packages/core/src/myrtlehook_core/process/options.py
@@ -61,14 +61,14 @@
     """Whether owners choose workspaces by weighted random choice in pools with too many owners for
     early charges; else they always choose the one with the lowest virtual service."""
     fetches_memory: bool = True
-    """Whether an engine fetches the cached prefix of a prompt from another engine that keeps more
-    of it, instead of reading that prefix again."""
+    """Whether an engine fetches the cached prefix of a prompt from another engine that caches
+    more of it, instead of reading that prefix again."""
     urgent_wait_part: float = 0.3
     """A request of a workspace that asks for more than its share waits for an engine for at most
     this part of the shortest first-token target among the engine's requests, if its own target
     is longer; 0 lets each request wait for most of its own target."""
     learns_engines: bool = True
-    """Whether an engine's estimated rate and delay are updated from its responses; else they keep
+    """Whether an engine's estimated rate and delay are updated from its answers; else they keep
     their initial values."""
     window_gain: float = 1.0
     """An engine is granted prompts to read ahead for a period: its own delay times this."""
@@ -79,32 +79,32 @@
     engines_asked: int = 3
     """The number of engines that may refuse a request before it is refused to its client."""
     excess_engines_asked: int = 1
-    """The same, for a request in excess of its workspace's share."""
+    """The same, for a request beyond its workspace's share."""
     eager_aim_part: float = 0.4
     """An engine of the own zone that is asked before all others accepts a request only if its
-    response is expected to begin within this part of its first-token target, so that a zone with
+    answer is expected to begin within this part of its first-token target, so that a zone with
     more clients than others does not keep them waiting while engines elsewhere are free."""
     aim_slack_part: float = 0.85
-    """A request is accepted only if its response is expected to begin within this part of its
+    """A request is accepted only if its answer is expected to begin within this part of its
     first-token target; the rest allows for errors of the estimate."""
     stranger_aim_part: float = 0.7
     """The same at engines that are asked after the one that most likely has the prompt cached."""
     quota_window_s: float = 2.0
     """Shares of a pool's capacity are enforced within every window of this length. A workspace
-    that suddenly floods the pool takes one window's share at once, so this should be half of
+    that suddenly floods the pool uses one window's share at once, so this should be half of
     the period over which flooding workspaces must receive equal service."""
     demand_interval_s: float = 0.2
     """Interval between routers' reports of the demand for model engines."""
     keeps_shares: bool = True
-    """Whether requests in excess of their workspace's share are served after all others."""
+    """Whether requests beyond their workspace's share are served after all others."""
     small_workspaces_first: bool = True
     """Whether workspaces that ask for less than their share are served before those that ask for
     more, even before those requests of the latter that are within their share."""
     refuses_at_arrival: bool = True
     """Whether an engine's owner refuses a request at once if it cannot be served in time."""
     refuses_full_tiers: bool = True
-    """Whether a router itself refuses most requests in excess of a share while engines accept
-    none of them."""
+    """Whether a router itself refuses most requests beyond a share while engines accept none
+    of them."""
     favours_returned: bool = True
     """Whether a request that was refused before is preferred when its client retries it."""
     ejects_servers: bool = True
--- a/packages/core/src/myrtlehook_core/process/owners.py
+++ b/packages/core/src/myrtlehook_core/process/owners.py
@@ -15,7 +15,7 @@
     record_bid,
     record_bid_row,
     record_early_charge,
-    record_grant,
+    subtract_granted_request,
 )
 from myrtlehook_core.process.choosers import (
     Candidate,
@@ -71,7 +71,7 @@
 
     options: CoreOptions
     configuration: Configuration
-    other_owners: Callable[[str], tuple[str, ...]]
+    list_other_owners: Callable[[str], tuple[str, ...]]
     """The other routers that own servers of a pool."""
     backoffs: Backoffs
     """Back-offs that backend servers have requested from this router."""
@@ -99,7 +99,7 @@
         owner.servers[name] = ServerSlots(owned_since_s=now_s)
 
 
-def receive_bid(
+def handle_bid(
     owner: SlotOwner, context: OwnerContext, sender: str, bid: Bid, now_s: float
 ) -> bool:
     """Record a bid and grant free slots of its pool.
@@ -113,7 +113,7 @@
     return True
 
 
-def receive_release(
+def handle_release(
     owner: SlotOwner, context: OwnerContext, sender: str, release: Release, now_s: float
 ) -> None:
     """Free a released slot, record the bid row that came with it, and grant free slots."""
@@ -132,7 +132,7 @@
     grant_slots(owner, context, configured.pool, now_s)
 
 
-def receive_hold_summary(
+def handle_hold_summary(
     owner: SlotOwner, context: OwnerContext, sender: str, summary: HoldSummary, now_s: float
 ) -> None:
     """Renew a holder's leases, or query the list of its holds when the counts differ."""
@@ -146,7 +146,7 @@
         context.outbox.add(sender, HoldQuery(summary.backend_server))
 
 
-def receive_hold_list(
+def handle_hold_list(
     owner: SlotOwner, context: OwnerContext, sender: str, message: HoldList, now_s: float
 ) -> None:
     """Replace the known holds of a router by those that it lists.
@@ -165,7 +165,7 @@
     replace_holds(server, listed, sender, settled_before_s)
 
 
-def receive_load(
+def handle_load(
     owner: SlotOwner, context: OwnerContext, report: LoadReported, now_s: float
 ) -> None:
     """Record a load report of an owned server, and grant slots that it shows to be free."""
@@ -178,7 +178,7 @@
         grant_slots(owner, context, configured.pool, now_s)
 
 
-def receive_early_charge(
+def handle_early_charge(
     owner: SlotOwner, context: OwnerContext, message: EarlyCharge, now_s: float
 ) -> None:
     """Record the early charge of another owner's grant until bids include it."""
@@ -247,7 +247,7 @@
 ) -> None:
     options = context.options
     router = pick_bidder(bids, candidate.workspace, backend_server, context.draw)
-    record_grant(bids, router, candidate.workspace)
+    subtract_granted_request(bids, router, candidate.workspace)
     pool = context.configuration.backend_servers[backend_server].pool
     if options.early_charge:
         _charge_early(context, bids, pool, candidate, now_s)
@@ -275,7 +275,7 @@
     virtual_units = candidate.mean_cost_units / candidate.share
     expires_at_s = now_s + EARLY_CHARGE_REFRESHES * context.options.refresh_interval_s
     record_early_charge(bids, candidate.workspace, virtual_units, expires_at_s)
-    others = context.other_owners(pool)
+    others = context.list_other_owners(pool)
     if len(others) > context.options.charge_fanout:
         return
     for owner in others:
@@ -314,7 +314,7 @@
 def _select_chooser(context: OwnerContext, pool: str) -> Chooser:
     # Where owners send each other early charges, strictly lowest first is best: they do not
     # herd on one workspace. In pools with more owners, a random choice has to spread them.
-    few = len(context.other_owners(pool)) <= context.options.charge_fanout
+    few = len(context.list_other_owners(pool)) <= context.options.charge_fanout
     if few or not context.options.weighted_choice:
         return choose_lowest
     return make_weighted_chooser(context.options.choice_spread_units)
--- a/packages/core/src/myrtlehook_core/process/probe_targets.py
+++ b/packages/core/src/myrtlehook_core/process/probe_targets.py
@@ -11,9 +11,9 @@
 FAR_PROBE_ONE_IN = 8
 """One probe in this many goes to another availability zone, where traffic is expensive. News
 that all routers of a zone know still crosses zones several times a second at this rate, and a
-zone in doubt is probed as often as the own zone."""
+suspected zone is probed as often as the own zone."""
 
-ZONE_DOUBT_S = 1.5
+ZONE_SUSPICION_S = 1.5
 """For this long after news of a suspect or dead member, its zone is probed as often as the own
 zone: the failure of a whole zone shows as many such pieces of news."""
 
@@ -26,14 +26,14 @@
 
 @dataclass(slots=True)
 class ProbeTargets:
-    """The members still to be probed in the present round, and the zones in doubt."""
+    """The members still to be probed in the present round, and the suspected zones."""
 
     near_ids: list[str] = field(default_factory=list)
     """Ids of members still to be probed: of the own zone, or of all where it has too few."""
     far_ids: list[str] = field(default_factory=list)
     """Ids of members still to be probed in other zones."""
-    doubted_until_s: dict[str, float] = field(default_factory=dict)
-    """By other zone, until when recent news of suspect or dead members keeps it in doubt."""
+    suspected_until_s: dict[str, float] = field(default_factory=dict)
+    """By other zone, until when it is suspected because of news of suspect or dead members."""
     chosen_count: int = 0
     """The number of targets chosen so far."""
 
@@ -45,10 +45,10 @@
         dead = [member for member in table.members.values() if member.state is MemberState.DEAD]
         if dead:
             return _draw_member(dead, draw)
-    if targets.doubted_until_s and targets.chosen_count % 2:
-        doubted = _draw_member(_list_doubted(targets, table), draw)
-        if doubted is not None:
-            return doubted
+    if targets.suspected_until_s and targets.chosen_count % 2:
+        suspected = _draw_member(_list_suspected_zone_members(targets, table), draw)
+        if suspected is not None:
+            return suspected
     if targets.chosen_count % FAR_PROBE_ONE_IN == 1:
         member = _pop_next_member(targets.far_ids, table)
         if member is not None:
@@ -61,16 +61,16 @@
     return member
 
 
-def update_doubted_zones(targets: ProbeTargets, table: MemberTable, now_s: float) -> None:
-    """Put other zones with fresh news of suspect or dead members in doubt, and end old doubts."""
+def update_suspected_zones(targets: ProbeTargets, table: MemberTable, now_s: float) -> None:
+    """Suspect other zones with new reports of suspect or dead members, and end old suspicions."""
     own_zone = table.identity.availability_zone
     for member in table.members_with_news.values():
         is_bad = member.state in (MemberState.SUSPECT, MemberState.DEAD)
         if is_bad and member.availability_zone != own_zone:
-            targets.doubted_until_s[member.availability_zone] = now_s + ZONE_DOUBT_S
-    for zone, until_s in list(targets.doubted_until_s.items()):
+            targets.suspected_until_s[member.availability_zone] = now_s + ZONE_SUSPICION_S
+    for zone, until_s in list(targets.suspected_until_s.items()):
         if now_s >= until_s:
-            del targets.doubted_until_s[zone]
+            del targets.suspected_until_s[zone]
 
 
 def shuffle(names: list[str], draw: Draw) -> None:
@@ -80,12 +80,13 @@
         names[index], names[other] = names[other], names[index]
 
 
-def _list_doubted(targets: ProbeTargets, table: MemberTable) -> list[Member]:
-    """Return the members of zones in doubt that are still considered alive."""
+def _list_suspected_zone_members(targets: ProbeTargets, table: MemberTable) -> list[Member]:
+    """Return the members of suspected zones that are still considered alive."""
     return [
         member
         for member in table.members.values()
-        if member.availability_zone in targets.doubted_until_s and member.state is MemberState.ALIVE
+        if member.availability_zone in targets.suspected_until_s
+        and member.state is MemberState.ALIVE
     ]
 
 
--- a/packages/core/src/myrtlehook_core/process/probing.py
+++ b/packages/core/src/myrtlehook_core/process/probing.py
@@ -41,7 +41,7 @@
     ProbeTargets,
     choose_next_target,
     shuffle,
-    update_doubted_zones,
+    update_suspected_zones,
 )
 from myrtlehook_core.process.quarantine_messages import QuarantineRow
 from myrtlehook_core.process.source_messages import ReaderRow
@@ -96,7 +96,7 @@
 
 @dataclass(slots=True)
 class ProbeContext:
-    """What the failure detector needs besides its own state."""
+    """Dependencies of the failure detector besides its own state."""
 
     table: MemberTable
     leaving: LeavingServers
@@ -108,7 +108,7 @@
     """Returns the routers that read the configuration source."""
     collect_quarantine_rows: Callable[[], tuple[QuarantineRow, ...]]
     """Returns the quarantine rows to send with the next message."""
-    out: ActionList
+    actions: ActionList
 
 
 def tick_prober(prober: Prober, context: ProbeContext, now_s: float) -> None:
@@ -120,9 +120,9 @@
         return
     # Jitter over a quarter of the interval keeps routers that started together out of step.
     interval_s = context.options.probe_interval_s * (0.875 + 0.25 * context.draw())
-    update_doubted_zones(prober.targets, context.table, now_s)
-    if prober.targets.doubted_until_s:
-        # Every second probe goes to a zone in doubt, so the rate doubles: the own zone is still
+    update_suspected_zones(prober.targets, context.table, now_s)
+    if prober.targets.suspected_until_s:
+        # Every second probe goes to a suspected zone, so the rate doubles: the own zone is still
         # probed as often as before.
         interval_s /= 2.0
     prober.next_probe_s = now_s + interval_s
@@ -192,7 +192,7 @@
         apply_member_row(context.table, row, now_s, context.options.suspicion_s)
     for leaving in news.leaving:
         if record_leaving(context.leaving, leaving, compute_news_sends(context.table)):
-            context.out.add(ServerLeavingReported(leaving.backend_server, sender))
+            context.actions.add(ServerLeavingReported(leaving.backend_server, sender))
 
 
 def announce_news(context: ProbeContext) -> None:
@@ -277,7 +277,7 @@
     prober.consecutive_misses[member.router_id] = missed
     if missed >= MISSES_BEFORE_RECONNECT:
         del prober.consecutive_misses[member.router_id]
-        context.out.add(RenewLink(member.router_id, member.address))
+        context.actions.add(RenewLink(member.router_id, member.address))
 
 
 def _pick_helpers(context: ProbeContext, target: str) -> list[str]:
@@ -337,4 +337,4 @@
 def _send(context: ProbeContext, router_id: str, message: object) -> None:
     member = context.table.members.get(router_id)
     if member is not None:
-        context.out.add(Send(router_id, member.address, message))  # type: ignore[arg-type]
+        context.actions.add(Send(router_id, member.address, message))  # type: ignore[arg-type]
--- a/packages/core/src/myrtlehook_core/process/quarantine.py
+++ b/packages/core/src/myrtlehook_core/process/quarantine.py
@@ -4,11 +4,11 @@
 while it runs a request reports this to the two collectors of the fingerprint, which are chosen by
 rendezvous hashing. A collector counts consecutive ends: ends of runs that were under way at the
 same time count as one, because a lost rack would end them all. At the second counted end the
-request is quarantined (held): all routers refuse it. They learn of it with their probes.
+request is quarantined: all routers refuse it. They learn of it with their probes.
 
-Requests that merely ran beside the harmful one are counted and held in the same way. A run of
-theirs that completes (a sound run), at any router, clears them and lifts the hold; a request that
-ends servers never completes.
+Requests that merely ran beside the harmful one are counted and quarantined in the same way. A run
+of theirs that completes (a sound run), at any router, clears them and lifts the quarantine; a
+request that ends servers never completes.
 """
 
 import math
@@ -18,41 +18,41 @@
 
 from myrtlehook_core.process.quarantine_messages import QuarantineRow, ServerEndReport
 
-ENDS_TO_HOLD = 2
-"""The number of consecutive ends at which a request is held. A single end is no evidence, since it
-happens to all requests that the server was running. Each further one costs a whole server and up
-to 64 answers that it was producing."""
+ENDS_TO_QUARANTINE = 2
+"""The number of consecutive ends at which a request is quarantined. A single end is no evidence,
+since it happens to all requests that the server was running. Each further one costs a whole server
+and up to 64 answers that it was producing."""
 
 CONCURRENT_WINDOW_S = 0.05
 """A run that began less than this after a server's end counts as under way at that time: a common
-cause ends several servers within about 10 ms, and messages take a few more. A router waits as
-long before it sends a request under which a server ended to another server."""
+cause ends several servers within about 10 ms, and messages are under way for a few more. A router
+waits as long before it sends a request under which a server ended to another server."""
 
-FIRST_HOLD_S = 60.0
-"""How long a request is held first. From then on a harmful request ends at most one server a
-minute."""
+FIRST_QUARANTINE_S = 60.0
+"""How long the first quarantine of a request lasts. From then on a harmful request ends at most one
+server a minute."""
 
-MAX_HOLD_S = 3600.0
-"""The hold doubles with each further end up to this limit, so that the request is tried again
+MAX_QUARANTINE_S = 3600.0
+"""The quarantine doubles with each further end up to this limit, so that the request is tried again
 within an hour after the servers were repaired."""
 
-END_MEMORY_S = 2.0 * MAX_HOLD_S
+END_MEMORY_S = 2.0 * MAX_QUARANTINE_S
 """Ends further apart than this do not count as consecutive."""
 
 LIFT_NEWS_S = 10.0
-"""How long the news that a hold was lifted is sent. Probes spread it to all of 1,200 routers in
-less time."""
+"""How long the news that a quarantine was lifted is sent. Probes spread it to all of 1,200
+routers in less time."""
 
 MAX_QUARANTINE_ROWS = 8
 """The greatest number of quarantine rows on one message, of about 40 bytes each. If more requests
-are held, those sent least often come first."""
+are quarantined, those sent least often come first."""
 
 MAX_SUSPECTS = 4096
 """The greatest number of requests whose ends a collector counts; the least recently counted are
 evicted. A lost server adds up to 64 of them, at two collectors each."""
 
 MAX_VERDICTS = 1024
-"""The greatest number of requests that a router keeps as held now or earlier."""
+"""The greatest number of requests, quarantined now or earlier, whose verdicts a router keeps."""
 
 MAX_SOUND_RUNS = 4096
 """The greatest number of completed requests that a router remembers: 100 s at 40 a second."""
@@ -75,13 +75,13 @@
 
     serial: int
     ends: int
-    """How many server ends were counted; 0 once the hold was lifted."""
+    """How many server ends were counted; 0 once the quarantine was lifted."""
     since_s: float
     """When the first of these servers ended."""
-    held_until_s: float
-    heard_at_s: float
+    quarantined_until_s: float
+    recorded_at_s: float
     """When this router made the verdict or received it."""
-    told: int = 0
+    times_sent: int = 0
     """How many messages have carried it."""
 
 
@@ -96,8 +96,8 @@
     verdicts: OrderedDict[bytes, Verdict] = field(default_factory=OrderedDict)
     sound_runs: OrderedDict[bytes, float] = field(default_factory=OrderedDict)
     """When each request last completed at this router."""
-    has_new_holds: bool = False
-    """Whether a request was held since the waiting requests were last checked."""
+    has_new_quarantines: bool = False
+    """Whether a request was quarantined since the waiting requests were last checked."""
 
 
 def count_end(
@@ -119,35 +119,35 @@
     return suspect
 
 
-def hold_request(
+def quarantine_request(
     quarantine: Quarantine, fingerprint: bytes, suspect: SuspectRequest, now_s: float
 ) -> Verdict:
     """Quarantine a request for which enough ends were counted."""
-    hold_s = FIRST_HOLD_S * 2.0 ** (suspect.ends - ENDS_TO_HOLD)
+    duration_s = FIRST_QUARANTINE_S * 2.0 ** (suspect.ends - ENDS_TO_QUARANTINE)
     verdict = Verdict(
         serial=_next_serial(quarantine, fingerprint),
         ends=suspect.ends,
         since_s=suspect.first_end_s,
-        held_until_s=now_s + min(hold_s, MAX_HOLD_S),
-        heard_at_s=now_s,
+        quarantined_until_s=now_s + min(duration_s, MAX_QUARANTINE_S),
+        recorded_at_s=now_s,
     )
     _store_last(quarantine.verdicts, fingerprint, verdict, MAX_VERDICTS)
-    quarantine.has_new_holds = True
+    quarantine.has_new_quarantines = True
     return verdict
 
 
-def lift_hold(quarantine: Quarantine, fingerprint: bytes, now_s: float) -> bool:
-    """Forget the counted ends of a request that has completed, and lift its hold.
+def lift_quarantine(quarantine: Quarantine, fingerprint: bytes, now_s: float) -> bool:
+    """Forget the counted ends of a request that has completed, and lift its quarantine.
 
-    Returns True if other routers must be informed: they know of the ends from the first hold
-    on, even when that is over.
+    Returns True if other routers must be informed: they know of the ends from the first
+    quarantine on, even when that is over.
     """
     quarantine.suspects.pop(fingerprint, None)
     verdict = quarantine.verdicts.get(fingerprint)
     if verdict is None or not verdict.ends:
         return False
     serial = _next_serial(quarantine, fingerprint)
-    lifted = Verdict(serial, ends=0, since_s=now_s, held_until_s=now_s, heard_at_s=now_s)
+    lifted = Verdict(serial, ends=0, since_s=now_s, quarantined_until_s=now_s, recorded_at_s=now_s)
     _store_last(quarantine.verdicts, fingerprint, lifted, MAX_VERDICTS)
     return True
 
@@ -158,21 +158,21 @@
 
 
 def is_cleared(quarantine: Quarantine, fingerprint: bytes) -> bool:
-    """Return whether a held request has completed here since the first end counted against it."""
+    """Return whether a quarantined request has completed here since its first counted end."""
     verdict = quarantine.verdicts.get(fingerprint)
     sound_at_s = quarantine.sound_runs.get(fingerprint, -math.inf)
     return verdict is not None and verdict.ends > 0 and sound_at_s > verdict.since_s
 
 
-def find_remaining_hold_s(quarantine: Quarantine, fingerprint: bytes, now_s: float) -> float:
+def find_remaining_quarantine_s(quarantine: Quarantine, fingerprint: bytes, now_s: float) -> float:
     """Return for how many seconds a request is still refused; 0 if it is not quarantined."""
     verdict = quarantine.verdicts.get(fingerprint)
-    return 0.0 if verdict is None else max(verdict.held_until_s - now_s, 0.0)
+    return 0.0 if verdict is None else max(verdict.quarantined_until_s - now_s, 0.0)
 
 
-def count_held(quarantine: Quarantine, now_s: float) -> int:
+def count_quarantined(quarantine: Quarantine, now_s: float) -> int:
     """Return the number of requests that are quarantined at present."""
-    return sum(now_s < verdict.held_until_s for verdict in quarantine.verdicts.values())
+    return sum(now_s < verdict.quarantined_until_s for verdict in quarantine.verdicts.values())
 
 
 def collect_quarantine_rows(quarantine: Quarantine, now_s: float) -> tuple[QuarantineRow, ...]:
@@ -180,11 +180,11 @@
     current = [
         (fingerprint, verdict)
         for fingerprint, verdict in quarantine.verdicts.items()
-        if now_s < verdict.held_until_s or _is_lift_news(verdict, now_s)
+        if now_s < verdict.quarantined_until_s or _is_lift_news(verdict, now_s)
     ]
-    current.sort(key=lambda item: item[1].told)
+    current.sort(key=lambda item: item[1].times_sent)
     for _, verdict in current[:MAX_QUARANTINE_ROWS]:
-        verdict.told += 1
+        verdict.times_sent += 1
     return tuple(_make_row(*item, now_s) for item in current[:MAX_QUARANTINE_ROWS])
 
 
@@ -199,12 +199,12 @@
         serial=row.serial,
         ends=row.ends,
         since_s=now_s - row.since_ms / 1000.0,
-        held_until_s=now_s + min(row.left_ms / 1000.0, MAX_HOLD_S),
-        heard_at_s=now_s,
+        quarantined_until_s=now_s + min(row.left_ms / 1000.0, MAX_QUARANTINE_S),
+        recorded_at_s=now_s,
     )
     _store_last(quarantine.verdicts, row.fingerprint, verdict, MAX_VERDICTS)
     if verdict.ends:
-        quarantine.has_new_holds = True
+        quarantine.has_new_quarantines = True
     else:
         quarantine.suspects.pop(row.fingerprint, None)
     return verdict
@@ -216,7 +216,7 @@
         if now_s - suspect.last_end_s > END_MEMORY_S:
             del quarantine.suspects[fingerprint]
     for fingerprint, verdict in list(quarantine.verdicts.items()):
-        if now_s - verdict.heard_at_s > END_MEMORY_S:
+        if now_s - verdict.recorded_at_s > END_MEMORY_S:
             del quarantine.verdicts[fingerprint]
 
 
@@ -227,7 +227,7 @@
     suspect = quarantine.suspects.get(fingerprint)
     verdict = quarantine.verdicts.get(fingerprint)
     if verdict is not None and verdict.ends and (suspect is None or suspect.ends < verdict.ends):
-        suspect = SuspectRequest(verdict.ends, verdict.since_s, verdict.heard_at_s)
+        suspect = SuspectRequest(verdict.ends, verdict.since_s, verdict.recorded_at_s)
     if suspect is None or now_s - suspect.last_end_s > END_MEMORY_S:
         return None
     return suspect
@@ -239,7 +239,7 @@
 
 
 def _is_lift_news(verdict: Verdict, now_s: float) -> bool:
-    return verdict.ends == 0 and now_s < verdict.heard_at_s + LIFT_NEWS_S
+    return verdict.ends == 0 and now_s < verdict.recorded_at_s + LIFT_NEWS_S
 
 
 def _make_row(fingerprint: bytes, verdict: Verdict, now_s: float) -> QuarantineRow:
@@ -247,7 +247,7 @@
         fingerprint=fingerprint,
         serial=verdict.serial,
         ends=verdict.ends,
-        left_ms=max(round((verdict.held_until_s - now_s) * 1000.0), 0),
+        left_ms=max(round((verdict.quarantined_until_s - now_s) * 1000.0), 0),
         since_ms=max(round((now_s - verdict.since_s) * 1000.0), 0),
     )
 
--- a/packages/core/src/myrtlehook_core/process/quarantine_handlers.py
+++ b/packages/core/src/myrtlehook_core/process/quarantine_handlers.py
@@ -10,14 +10,14 @@
 from myrtlehook_core.process.membership_messages import News
 from myrtlehook_core.process.probing import announce_news, announce_news_in_zone
 from myrtlehook_core.process.quarantine import (
-    ENDS_TO_HOLD,
+    ENDS_TO_QUARANTINE,
     Verdict,
     apply_quarantine_row,
     count_end,
-    find_remaining_hold_s,
-    hold_request,
+    find_remaining_quarantine_s,
     is_cleared,
-    lift_hold,
+    lift_quarantine,
+    quarantine_request,
     record_sound_run,
 )
 from myrtlehook_core.process.quarantine_messages import ServerEndReport, SoundRunReport
@@ -56,9 +56,9 @@
         return
     fingerprint = message.fingerprint
     core.actions.add(ServerEndCounted(fingerprint, message.backend_server, suspect.ends))
-    if suspect.ends < ENDS_TO_HOLD:
+    if suspect.ends < ENDS_TO_QUARANTINE:
         return
-    verdict = hold_request(core.quarantine, fingerprint, suspect, now_s)
+    verdict = quarantine_request(core.quarantine, fingerprint, suspect, now_s)
     _report_verdict(core, fingerprint, verdict, QuarantineCause.COUNTED)
     _report_sound_run(core, fingerprint, now_s)
     announce_news(core.probe_context())
@@ -67,8 +67,8 @@
 def handle_sound_run_report(
     core: "RouterCore", sender: str, message: SoundRunReport, now_s: float
 ) -> None:
-    """Lift the hold of a request, as a collector, after a completed run of it."""
-    if not lift_hold(core.quarantine, message.fingerprint, now_s):
+    """Lift the quarantine of a request, as a collector, after a completed run of it."""
+    if not lift_quarantine(core.quarantine, message.fingerprint, now_s):
         return
     verdict = core.quarantine.verdicts[message.fingerprint]
     _report_verdict(core, message.fingerprint, verdict, QuarantineCause.ENDED_WELL)
@@ -97,7 +97,7 @@
 def record_completed_request(
     core: "RouterCore", request: RequestSpecification, now_s: float
 ) -> None:
-    """Record a completed run, and report it to the collectors if its request is held."""
+    """Record a completed run, and report it to the collectors if its request is quarantined."""
     if not request.fingerprint:
         return
     record_sound_run(core.quarantine, request.fingerprint, now_s)
@@ -105,36 +105,38 @@
 
 
 def resend_sound_run_reports(core: "RouterCore", now_s: float) -> None:
-    """Report again that held requests have completed here; an earlier report may have been lost."""
+    """Report again which quarantined requests have completed here, as a report may be lost."""
     for fingerprint, verdict in core.quarantine.verdicts.items():
-        if now_s < verdict.held_until_s:
+        if now_s < verdict.quarantined_until_s:
             _report_sound_run(core, fingerprint, now_s)
 
 
 def refuse_quarantined_requests(core: "RouterCore", now_s: float) -> None:
     """Refuse waiting requests that have been quarantined since they arrived."""
-    core.quarantine.has_new_holds = False
+    core.quarantine.has_new_quarantines = False
     admission_context = core.admission_context()
     for admission in list(core.admissions.open.values()):
-        is_held = find_remaining_hold_s(core.quarantine, admission.request.fingerprint, now_s) > 0.0
-        if is_held and not admission.granted:
+        is_quarantined = (
+            find_remaining_quarantine_s(core.quarantine, admission.request.fingerprint, now_s) > 0.0
+        )
+        if is_quarantined and not admission.granted:
             reason = RefusalReason.QUARANTINED
             refuse_admission(core.admissions, admission_context, admission, reason, now_s)
-    context = core.entry_context()
-    for queue in core.entry.queues.values():
-        held = [
+    context = core.ingress_context()
+    for queue in core.ingress.queues.values():
+        quarantined = [
             request
             for request in queue.waiting
-            if find_remaining_hold_s(core.quarantine, request.fingerprint, now_s)
+            if find_remaining_quarantine_s(core.quarantine, request.fingerprint, now_s)
         ]
-        for request in held:
+        for request in quarantined:
             remove_request(queue, request.request_id)
-            update_queue_counts(core.entry, request, -1)
-            refuse_request(core.entry, context, request, RefusalReason.QUARANTINED, now_s)
+            update_queue_counts(core.ingress, request, -1)
+            refuse_request(core.ingress, context, request, RefusalReason.QUARANTINED, now_s)
 
 
 def _report_sound_run(core: "RouterCore", fingerprint: bytes, now_s: float) -> None:
-    """Report to the collectors if a held request has completed here since its first end."""
+    """Report to the collectors if a quarantined request has completed here since its first end."""
     if not is_cleared(core.quarantine, fingerprint):
         return
     for router_id in _find_collectors(core, fingerprint):
@@ -149,4 +151,6 @@
 def _report_verdict(
     core: "RouterCore", fingerprint: bytes, verdict: Verdict, cause: QuarantineCause
 ) -> None:
-    core.actions.add(QuarantineChanged(fingerprint, verdict.ends, verdict.held_until_s, cause))
+    core.actions.add(
+        QuarantineChanged(fingerprint, verdict.ends, verdict.quarantined_until_s, cause)
+    )
--- a/packages/core/src/myrtlehook_core/process/refusals.py
+++ b/packages/core/src/myrtlehook_core/process/refusals.py
@@ -8,7 +8,7 @@
     make_pool_key,
     update_queue_counts,
 )
-from myrtlehook_core.process.quarantine import find_remaining_hold_s
+from myrtlehook_core.process.quarantine import find_remaining_quarantine_s
 from myrtlehook_core.request.admission import (
     TokenBucket,
     can_meet_deadline,
@@ -22,8 +22,9 @@
 from myrtlehook_core.version.configurations import Workspace
 
 RETRY_SPREAD_S = 0.5
-"""Span over which the retries of refused clients are spread after a back-off has ended. Servers
-allow the same time for requests that were under way when they asked a router to back off."""
+"""Span over which the retries of refused clients are spread after a back-off has ended. It equals
+the time for which servers tolerate requests that were under way when they asked a router to back
+off."""
 
 
 def refuse_unservable(ingress: IngressState, context: IngressContext, now_s: float) -> None:
@@ -81,7 +82,7 @@
         return RefusalReason.CONFIGURATION_REMOVED
     if request.request_id in ingress.attempts:
         return RefusalReason.DUPLICATE_REQUEST_ID
-    if find_remaining_hold_s(context.quarantine, request.fingerprint, now_s):
+    if find_remaining_quarantine_s(context.quarantine, request.fingerprint, now_s):
         return RefusalReason.QUARANTINED
     if key.pool not in context.configuration.served_pools:
         return RefusalReason.NO_BACKEND_SERVER
@@ -121,7 +122,7 @@
     context: IngressContext, request: RequestSpecification, now_s: float
 ) -> RefusalReason:
     """Return the refusal reason of a request that was dispatched and is not retried."""
-    if find_remaining_hold_s(context.quarantine, request.fingerprint, now_s):
+    if find_remaining_quarantine_s(context.quarantine, request.fingerprint, now_s):
         return RefusalReason.QUARANTINED
     if request.deadline_s <= now_s:
         return RefusalReason.DEADLINE_PASSED
@@ -138,7 +139,7 @@
     """Refuse a request, with the time after which its client should retry."""
     if reason is not RefusalReason.DUPLICATE_REQUEST_ID:
         ingress.attempts.pop(request.request_id, None)
-    wait_s = find_remaining_hold_s(context.quarantine, request.fingerprint, now_s)
+    wait_s = find_remaining_quarantine_s(context.quarantine, request.fingerprint, now_s)
     if not wait_s:
         backoff_s = find_retry_wait_s(ingress, context, request, now_s)
         wait_s = max(
--- a/packages/core/src/myrtlehook_core/process/routers.py
+++ b/packages/core/src/myrtlehook_core/process/routers.py
@@ -1,4 +1,4 @@
-"""The decision core of one router: it takes events and returns actions.
+"""The decision core of one router: it handles events and returns actions.
 
 It does no I/O, reads no clock and generates no random numbers itself, so that a
 test or benchmark can drive many routers in one process, in any order.
@@ -25,7 +25,7 @@
 from myrtlehook_core.process.engine_decisions import (
     EngineQueues,
     QueueContext,
-    find_next_grant,
+    find_next_grant_s,
 )
 from myrtlehook_core.process.engine_loads import (
     EngineFigures,
@@ -103,7 +103,7 @@
         self._applied_revisions = (0, 0)
         self._applied_base = self.exchange.current
         self._configuration = self.exchange.current
-        self.entry = IngressState(options.retry_burst)
+        self.ingress = IngressState(options.retry_burst)
         self.owner = SlotOwner(int(draw() * GRANT_ID_SPACE))
         self.ledger = Ledger()
         self.admissions = Admissions()
@@ -151,7 +151,7 @@
 
     def find_next_grant_s(self) -> float:
         """Return when the core next needs a ``GrantsDue`` event; infinity if it needs none."""
-        return find_next_grant(self.engine_queues, self.options, self._now_s)
+        return find_next_grant_s(self.engine_queues, self.options, self._now_s)
 
     def describe_engines(self) -> list[EngineFigures]:
         """Return the estimated state of each owned engine, for metrics."""
@@ -174,7 +174,7 @@
 
     # -- contexts for the functions of each subsystem ------------------------------
 
-    def entry_context(self) -> IngressContext:
+    def ingress_context(self) -> IngressContext:
         """Return the ingress side's context for this event."""
         return IngressContext(
             options=self.options,
@@ -191,8 +191,8 @@
         return OwnerContext(
             options=self.options,
             configuration=self.configuration,
-            other_owners=self._list_other_owners,
-            backoffs=self.entry.backoffs,
+            list_other_owners=self._list_other_owners,
+            backoffs=self.ingress.backoffs,
             draw=self.draw,
             actions=self.actions,
             outbox=self.outbox,
@@ -201,8 +201,8 @@
     def admission_context(self) -> AdmissionContext:
         """Return the context of admission to model engines for this event."""
         return AdmissionContext(
-            entry=self.entry,
-            entry_context=self.entry_context(),
+            ingress=self.ingress,
+            ingress_context=self.ingress_context(),
             shares=self.shares,
             find_owner=self.placement.server_owners.get,
             now_s=self._now_s,
@@ -214,9 +214,9 @@
         return QueueContext(
             options=self.options,
             configuration=self.configuration,
-            reachable=self.is_reachable,
-            out=self.actions,
-            post=self.outbox,
+            is_reachable=self.is_reachable,
+            actions=self.actions,
+            outbox=self.outbox,
         )
 
     def probe_context(self) -> ProbeContext:
@@ -230,7 +230,7 @@
             servers_order=self.discovery.source_order,
             collect_reader_rows=self._collect_reader_rows,
             collect_quarantine_rows=self._collect_quarantine_rows,
-            out=self.actions,
+            actions=self.actions,
         )
 
     def is_reachable(self, router_id: str) -> bool:
@@ -258,7 +258,7 @@
         self._update_ownership(now_s)
         mark_cold_engines(self, now_s)
         self._deliver_messages(now_s)
-        if self.quarantine.has_new_holds:
+        if self.quarantine.has_new_quarantines:
             refuse_quarantined_requests(self, now_s)
             self._deliver_messages(now_s)
 
@@ -293,9 +293,9 @@
         }
         announce_admissions(self.admissions, self.admission_context(), moved, now_s)
         drop_removed_engines(self.admissions, frozenset(owners))
-        send_holds_to_new_owners(self.entry, previous_owners, self.placement, self.outbox)
-        self.entry.handover_until_s = now_s + self.options.handover_s
-        for account in self.entry.accounts.values():
+        send_holds_to_new_owners(self.ingress, previous_owners, self.placement, self.outbox)
+        self.ingress.handover_until_s = now_s + self.options.handover_s
+        for account in self.ingress.accounts.values():
             account.changed = True
 
     def _report_member_changes(self) -> None:
@@ -310,16 +310,16 @@
         late_s = now_s - last_tick_s
         if late_s <= self.options.pause_threshold_s:
             return
-        # Other routers may have taken over servers and leases during the pause, so state
+        # Other routers may have become the owners of servers and leases during the pause, so state
         # from before it is no longer reliable.
         self.last_tick_s = now_s
         self.actions.add(PauseDetected(late_s))
         reset_owner_state(self.owner, now_s)
         clear_queues(self.engine_queues, now_s)
-        self.entry.advertised_requests.clear()
+        self.ingress.advertised_requests.clear()
         self.prober.pending.clear()
         self.prober.consecutive_misses.clear()
         for member in self.table.members.values():
             if member.state is MemberState.SUSPECT:
                 member.suspect_deadline_s = now_s + self.options.suspicion_s
-        refuse_unservable(self.entry, self.entry_context(), now_s)
+        refuse_unservable(self.ingress, self.ingress_context(), now_s)
--- a/packages/core/src/myrtlehook_core/process/runs.py
+++ b/packages/core/src/myrtlehook_core/process/runs.py
@@ -14,7 +14,7 @@
     update_queue_counts,
 )
 from myrtlehook_core.process.messages import Grant, Release
-from myrtlehook_core.process.quarantine import find_remaining_hold_s
+from myrtlehook_core.process.quarantine import find_remaining_quarantine_s
 from myrtlehook_core.process.refusals import choose_last_refusal, find_refusal, refuse_request
 from myrtlehook_core.request.charges import (
     ServiceAccount,
@@ -43,8 +43,8 @@
 has not failed; ejecting it would also keep away routers that it has not asked to back off."""
 
 MIN_UNSENT_ATTEMPTS = 4
-"""Least number of dispatches allowed to a request with a limit of its own, as long as no byte of it
-was sent to a server."""
+"""A request with a smaller attempts limit of its own may still be retried up to this many
+dispatches in all, if the last one ended before any byte was sent to a server."""
 
 
 def accept_request(
@@ -78,7 +78,7 @@
             return
 
 
-def apply_grant(
+def handle_grant(
     ingress: IngressState, context: IngressContext, owner: str, grant: Grant, now_s: float
 ) -> bool:
     """Dispatch the oldest waiting request on a granted slot, or release the slot at once.
@@ -220,7 +220,7 @@
         return False
     if reason is RetryReason.ANSWER_BROKEN and not request.repeatable:
         return False
-    if request.deadline_s <= now_s or find_remaining_hold_s(
+    if request.deadline_s <= now_s or find_remaining_quarantine_s(
         context.quarantine, request.fingerprint, now_s
     ):
         return False
--- a/packages/core/src/myrtlehook_core/process/server_notice_handlers.py
+++ b/packages/core/src/myrtlehook_core/process/server_notice_handlers.py
@@ -52,13 +52,13 @@
     server = core.configuration.backend_servers.get(name)
     # The server's entry may be missing for a moment; the back-off applies once it is back.
     pool = "" if server is None else server.pool
-    entry = core.entry
-    if not record_backoff(entry.backoffs, name, pool, event.backoff_until_s):
+    ingress = core.ingress
+    if not record_backoff(ingress.backoffs, name, pool, event.backoff_until_s):
         return
     core.actions.add(ServerBackoffReported(name, event.backoff_until_s, event.request_id))
     owner = core.placement.server_owners.get(name)
-    if owner is not None and entry.advertised_requests.get(owner):
+    if owner is not None and ingress.advertised_requests.get(owner):
         # Bids carry the back-off. An owner that does not know of it would grant slots that are
         # returned unused.
-        send_bid(entry, pool, owner, core.outbox, now_s)
-    refuse_unservable(entry, core.entry_context(), now_s)
+        send_bid(ingress, pool, owner, core.outbox, now_s)
+    refuse_unservable(ingress, core.ingress_context(), now_s)
--- a/packages/core/src/myrtlehook_core/process/settings.py
+++ b/packages/core/src/myrtlehook_core/process/settings.py
@@ -86,7 +86,7 @@
     return Err(findings) if findings else parsed
 
 
-def core_options(settings: Settings) -> CoreOptions:
+def make_core_options(settings: Settings) -> CoreOptions:
     """Return the core's options that correspond to these settings."""
     return CoreOptions(
         refresh_interval_s=settings.timing.refresh_interval_s,
--- a/packages/core/src/myrtlehook_core/process/share_standings.py
+++ b/packages/core/src/myrtlehook_core/process/share_standings.py
@@ -8,12 +8,12 @@
 
 from myrtlehook_core.process.shares import (
     Shares,
-    asks_above_share,
+    is_above_share,
     record_asked,
     record_granted,
     record_refused,
 )
-from myrtlehook_core.process.shedding import Shedding, sheds
+from myrtlehook_core.process.shedding import Shedding, should_refuse
 from myrtlehook_core.request.requests import RequestSpecification, find_share_tokens
 
 
@@ -32,7 +32,7 @@
     pool, workspace = request.pool, request.workspace
     return ShareStanding(
         tier=record_asked(shares, pool, workspace, find_share_tokens(request), now_s),
-        above_share=asks_above_share(shares, pool, workspace, now_s),
+        above_share=is_above_share(shares, pool, workspace, now_s),
     )
 
 
@@ -44,7 +44,7 @@
     now_s: float,
 ) -> bool:
     """Return whether to shed a request for lack of processor time; it then counts as refused."""
-    if not sheds(shedding, request.workspace, standing.tier, standing.above_share):
+    if not should_refuse(shedding, request.workspace, standing.tier, standing.above_share):
         return False
     count_refused_request(shares, request, standing.tier, now_s)
     return True
--- a/packages/core/src/myrtlehook_core/process/shares.py
+++ b/packages/core/src/myrtlehook_core/process/shares.py
@@ -18,7 +18,7 @@
 from myrtlehook_core.process.accountants import (
     PoolAccount,
     expire_reports,
-    record_report,
+    replace_report,
     sum_reports,
 )
 from myrtlehook_core.process.admission_messages import (
@@ -41,7 +41,7 @@
 
 MAX_RETURNED_LEVELS = 0.5
 """Limit, in levels, up to which refused requests restore the credit of their workspace. A higher
-limit admits requests that engines cannot take once some of them are lost."""
+limit admits requests that engines cannot serve once some of them are lost."""
 
 HIGHEST_TIER = 15
 """Tier of all demand beyond this number of levels."""
@@ -66,9 +66,9 @@
     asked_tokens: dict[str, int] = field(default_factory=dict)
     """By workspace."""
     refused_tokens: dict[str, int] = field(default_factory=dict)
-    """By workspace. Tokens asked for in this step and refused, at whatever time."""
+    """By workspace. Tokens asked for in this step and refused in this or a later one."""
     granted_tokens: dict[str, int] = field(default_factory=dict)
-    """By workspace. Tokens that engines took in this step, whenever they were asked for."""
+    """By workspace. Tokens that engines admitted in this step, whenever they were asked for."""
 
 
 @dataclass(slots=True)
@@ -110,7 +110,7 @@
 
 
 def record_granted(shares: Shares, pool: str, workspace: str, tokens: int, now_s: float) -> None:
-    """Record the tokens of a request that an engine has taken."""
+    """Record the tokens of a request that an engine has admitted."""
     demand = shares.demands.setdefault(pool, PoolDemand())
     granted = _find_bucket(demand, now_s).granted_tokens
     granted[workspace] = granted.get(workspace, 0) + tokens
@@ -119,7 +119,7 @@
 def record_refused(
     shares: Shares, pool: str, workspace: str, tokens: int, tier: int, asked_at_s: float
 ) -> None:
-    """Record a request that no engine took, in the window step in which it was asked for.
+    """Record a request that no engine admitted, in the window step in which it was asked for.
 
     A request of tier 0 returns its credit to its workspace.
     """
@@ -135,7 +135,7 @@
             return
 
 
-def asks_above_share(shares: Shares, pool: str, workspace: str, now_s: float) -> bool:
+def is_above_share(shares: Shares, pool: str, workspace: str, now_s: float) -> bool:
     """Return whether a workspace's demand across all routers exceeds its share."""
     demand = shares.demands.get(pool)
     if demand is None or now_s >= demand.level_deadline_s:
@@ -167,7 +167,7 @@
     A share limits the tokens that a workspace receives, not those that it asks for. Requests with
     long prompts are refused more often than those with short ones for the same demand. If refused
     requests used up the share, a workspace would receive less the longer its prompts are. Credit
-    beyond the share is not returned: engines cannot take all of that demand, so the workspace
+    beyond the share is not returned: engines cannot serve all of that demand, so the workspace
     with the largest demand would receive the most.
     """
     credits_tokens = demand.tier_credits_tokens.get(workspace)
@@ -221,7 +221,7 @@
 ) -> ShareLevel | None:
     """Record a report from this router's zone; return the current level, or None if unknown."""
     account = shares.zone_accounts.setdefault(report.pool, PoolAccount())
-    record_report(account, sender, report.rows, now_s)
+    replace_report(account, sender, report.rows, now_s)
     demand = shares.demands.get(report.pool)
     if demand is None or now_s >= demand.level_deadline_s:
         return None
--- a/packages/core/src/myrtlehook_core/process/shedding.py
+++ b/packages/core/src/myrtlehook_core/process/shedding.py
@@ -83,7 +83,7 @@
     """Latest retry time that was given to a refused client."""
 
 
-def note_lag(shedding: Shedding, lag_s: float, now_s: float) -> bool:
+def record_lag(shedding: Shedding, lag_s: float, now_s: float) -> bool:
     """Record a lag of the event loop and adjust the fraction to refuse once per interval.
 
     :returns: whether the fraction has changed.
@@ -108,7 +108,7 @@
     return shedding.refused_fraction != before
 
 
-def book_return(shedding: Shedding, now_s: float, remaining_s: float, draw: Draw) -> float:
+def schedule_retry(shedding: Shedding, now_s: float, remaining_s: float, draw: Draw) -> float:
     """Return the number of seconds after which a refused client should retry.
 
     Retries are scheduled one after another, at a rate that this router can serve in addition to new
@@ -124,7 +124,9 @@
     return max(longest_s * (0.5 + 0.5 * draw()), 0.0)
 
 
-def sheds(shedding: Shedding, workspace: str, tier: int = 0, above_share: bool = False) -> bool:
+def should_refuse(
+    shedding: Shedding, workspace: str, tier: int = 0, above_share: bool = False
+) -> bool:
     """Count a request and return whether to refuse it.
 
     :param tier: the request's tier, 0 within its workspace's share.
--- a/packages/core/src/myrtlehook_core/process/source_handlers.py
+++ b/packages/core/src/myrtlehook_core/process/source_handlers.py
@@ -36,8 +36,8 @@
     Accepted,
     Rejected,
     handle_document,
-    missing_digests,
-    missing_parts,
+    list_missing_digests,
+    list_missing_parts,
     record_advertised_version,
 )
 
@@ -167,10 +167,10 @@
         return
     offer.next_query_s = now_s + DOCUMENT_QUERY_INTERVAL_S
     if offer.source == PLATFORM:
-        for part in missing_parts(core.exchange):
+        for part in list_missing_parts(core.exchange):
             core.actions.add(FetchPart(part.key, part.digest))
         return
-    core.outbox.add(offer.source, ConfigurationQuery(missing_digests(core.exchange)))
+    core.outbox.add(offer.source, ConfigurationQuery(list_missing_digests(core.exchange)))
 
 
 def _announce_source_news(core: "RouterCore") -> None:
--- a/packages/core/src/myrtlehook_core/process/statuses.py
+++ b/packages/core/src/myrtlehook_core/process/statuses.py
@@ -72,8 +72,8 @@
         configuration_digest=core.configuration.version.digest,
         configuration_source=core.exchange.source,
         evacuated_zones=tuple(sorted(core.discovery.evacuated_zones)),
-        queued_requests=core.entry.queued_requests,
-        running_requests=len(core.entry.running),
+        queued_requests=core.ingress.queued_requests,
+        running_requests=len(core.ingress.running),
         ledger_accounts=len(core.ledger.accounts),
         servers=tuple(_describe_servers(core)),
         queues=tuple(_describe_queues(core)),
@@ -100,12 +100,12 @@
 
 
 def _describe_queues(core: RouterCore) -> list[QueueStatus]:
-    entry = core.entry
-    keys = sorted(set(entry.queues) | set(entry.accounts), key=lambda k: (k.pool, k.workspace))
+    ingress = core.ingress
+    keys = sorted(set(ingress.queues) | set(ingress.accounts), key=lambda k: (k.pool, k.workspace))
     described = []
     for key in keys:
-        queue = entry.queues.get(key)
-        account = entry.accounts.get(key)
+        queue = ingress.queues.get(key)
+        account = ingress.accounts.get(key)
         described.append(
             QueueStatus(
                 workspace=key.workspace,
@@ -113,7 +113,7 @@
                 queued_requests=0 if queue is None else len(queue.waiting),
                 queued_bytes=0 if queue is None else queue.queued_bytes,
                 running_requests=0 if account is None else len(account.charges),
-                virtual_service_units=compute_virtual_service_units(entry, key),
+                virtual_service_units=compute_virtual_service_units(ingress, key),
                 served_here_units=0.0 if account is None else account.served_units,
             )
         )
--- a/packages/core/src/myrtlehook_core/request/admission.py
+++ b/packages/core/src/myrtlehook_core/request/admission.py
@@ -5,8 +5,8 @@
 from myrtlehook_core.request.outcomes import RefusalReason
 from myrtlehook_core.request.queues import WorkspaceQueue, estimate_wait_s
 
-MINIMUM_RETRY_AFTER_S = 1.0
-MAXIMUM_RETRY_AFTER_S = 600.0
+MIN_RETRY_AFTER_S = 1.0
+MAX_RETRY_AFTER_S = 600.0
 
 GIVE_UP_FACTOR = 2.0
 """A queued request is refused only when its expected wait exceeds the time to its
@@ -66,8 +66,8 @@
 def compute_retry_after_s(queue: WorkspaceQueue | None, now_s: float) -> float:
     """Return the retry delay for a client, from its workspace's own backlog and rate."""
     if queue is None:
-        return MINIMUM_RETRY_AFTER_S
+        return MIN_RETRY_AFTER_S
     wait_s = estimate_wait_s(queue, len(queue.waiting), now_s)
     if wait_s is None:
-        return MINIMUM_RETRY_AFTER_S
-    return min(max(wait_s, MINIMUM_RETRY_AFTER_S), MAXIMUM_RETRY_AFTER_S)
+        return MIN_RETRY_AFTER_S
+    return min(max(wait_s, MIN_RETRY_AFTER_S), MAX_RETRY_AFTER_S)
--- a/packages/core/src/myrtlehook_core/request/outcomes.py
+++ b/packages/core/src/myrtlehook_core/request/outcomes.py
@@ -60,10 +60,10 @@
     """The server rejected the request and asked this router to back off for a time."""
     LEASE_EXPIRED = "lease_expired"
     SERVER_REPLACED = "server_replaced"
-    """Another server has taken over the address and rejected the request."""
+    """Another server now has the address, and rejected the request."""
     ANSWER_BROKEN = "answer_broken"
-    """The response broke off or was not valid; the request may have run, so only a repeatable one
-    is queued again."""
+    """The answer broke off or was not valid; the request may have run, so only a repeatable one is
+    queued again."""
 
 
 class DropReason(StrEnum):
--- a/packages/core/src/myrtlehook_core/request/requests.py
+++ b/packages/core/src/myrtlehook_core/request/requests.py
@@ -22,7 +22,7 @@
     body_bytes: int
     arrived_at_s: float
     deadline_s: float
-    """Router clock time after which a response is of no use to the client."""
+    """Router clock time after which an answer is of no use to the client."""
     no_repeat: bool = False
     prefix_key: str = ""
     """Digest of the beginning of the prompt; requests with the same digest share a prefix cache."""
@@ -36,7 +36,7 @@
     prompt_parts: tuple[PromptPart, ...] = ()
     """In order; only the last one is specific to this request or its session."""
     aim_deadline_s: float = math.inf
-    """Router clock time by which the response should begin, such as its first token."""
+    """Router clock time by which the answer should begin, such as its first token."""
     priority: int = 1
     """0 is served first."""
     fingerprint: bytes = b""
--- a/packages/core/src/myrtlehook_core/version/configurations.py
+++ b/packages/core/src/myrtlehook_core/version/configurations.py
@@ -1,4 +1,4 @@
-"""The configuration in force: workspaces, pools and backend servers, as data classes."""
+"""The active configuration: workspaces, pools and backend servers, as data classes."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
@@ -51,7 +51,7 @@
     memory_tokens: int
     """Capacity for the tokens of running requests and cached prompt parts together."""
     event_tokens: int = 1
-    """Tokens in one event of a response stream."""
+    """Tokens in one event of an answer's stream."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -64,7 +64,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EntryLimits:
+class IngressLimits:
     """Limits on the size and the timing of client requests, and the capacity of the fleet."""
 
     header_bytes: int = 16 * 1024
@@ -118,7 +118,7 @@
     order: ServerOrder | None = None
     instance: str = ""
     """Identifier of the server that its restarts share, unlike ``name``. It is sent with each
-    request, so that another server that has taken over the address rejects the request."""
+    request, so that another server that now has the address rejects the request."""
     cold_ms: int = 0
     """Remaining cold time as the server reported it; see ``process/cold_engines``."""
 
@@ -138,7 +138,7 @@
     served_pools: frozenset[str] = frozenset()
     """Pools that have a backend server."""
     routes: RouteTable = RouteTable()
-    limits: EntryLimits = EntryLimits()
+    limits: IngressLimits = IngressLimits()
     servers_revision: int = 0
     """Changes when discovery changes the backend servers within one version."""
 
--- a/packages/core/src/myrtlehook_core/version/digests.py
+++ b/packages/core/src/myrtlehook_core/version/digests.py
@@ -14,6 +14,6 @@
     """Return the short digest that identifies a configuration between routers.
 
     It also orders versions of the same number. Every probe carries it, so it is kept
-    short; 64 bits suffice to tell apart the few versions in circulation at a time.
+    short; 64 bits suffice to distinguish the few versions in circulation at a time.
     """
     return digest_text(text)[:VERSION_DIGEST_CHARACTERS]
--- a/packages/core/src/myrtlehook_core/version/discovery.py
+++ b/packages/core/src/myrtlehook_core/version/discovery.py
@@ -1,7 +1,7 @@
 """Discovery of backend servers, for configurations that do not list them.
 
 The router learns of the servers from the source's full lists and from the changes that
-peers send. Each of them carries the source order (era and revision) that it stands for,
+peers send. Each of them carries the source order (era and revision) that it reflects,
 and an older one never replaces a newer one. A server that has announced that it is
 leaving stays marked as leaving for as long as it is known by that name. Entries that
 lapsed (expired) during an outage of the source get a grace period to return before their
@@ -20,7 +20,7 @@
 from myrtlehook_core.version.source_orders import NO_ORDER, SourceOrder
 
 RETURN_GRACE_S = 2.0
-"""How long an entry that expired during an outage may take to return."""
+"""How long an entry that expired during an outage has to return."""
 
 RESTORED_HOLDOFF_S = 6.0
 """How long a removed server gets no requests after a restored backup lists it again. The entry
@@ -45,7 +45,7 @@
     """Incremented when ``known``, ``evacuated_zones`` or the hold-offs change; local to this
     process, unlike ``source_order``."""
     source_order: SourceOrder = NO_ORDER
-    """The source order that ``known`` stands for."""
+    """The source order that ``known`` reflects."""
     changed_orders: dict[str, SourceOrder] = field(default_factory=dict)
     """By server, the source order at which it changed last."""
     removed_orders: dict[str, SourceOrder] = field(default_factory=dict)
--- a/packages/core/src/myrtlehook_core/version/exchange.py
+++ b/packages/core/src/myrtlehook_core/version/exchange.py
@@ -2,7 +2,7 @@
 
 A router only ever moves to a greater version. Documents are identified by their
 digest, so it does not matter who sent them. The router keeps the texts of the
-version in force in order to send them to peers.
+active version in order to send them to peers.
 """
 
 from collections.abc import Callable
@@ -45,14 +45,14 @@
 
 @dataclass(slots=True)
 class ConfigurationExchange:
-    """The configuration in force, its texts, and the offer being collected."""
+    """The active configuration, its texts, and the offer being collected."""
 
     current: Configuration = EMPTY_CONFIGURATION
     texts: dict[str, str] = field(default_factory=dict)
-    """Text by digest, of the manifest and parts in force."""
+    """Text by digest, of the active manifest and parts."""
     parsed_parts: "dict[str, PartDocument]" = field(default_factory=dict)
     source: str = "none"
-    """Who sent the configuration in force."""
+    """Who sent the active configuration."""
     offer: Offer | None = None
     rejected: set[str] = field(default_factory=set)
     """Digests of the manifests, or of the whole configurations, that were rejected."""
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """A configuration came into force."""
+    """A configuration has become active."""
 
     configuration: Configuration
     source: str
@@ -159,7 +159,7 @@
     return Accepted(exchange.current, source)
 
 
-def missing_parts(exchange: ConfigurationExchange) -> "list[PartReference]":
+def list_missing_parts(exchange: ConfigurationExchange) -> "list[PartReference]":
     """Return the parts of the offer that have not arrived yet."""
     offer = exchange.offer
     if offer is None:
@@ -167,14 +167,14 @@
     return [part for part in offer.parts if part.digest not in offer.texts]
 
 
-def missing_digests(exchange: ConfigurationExchange) -> tuple[str, ...]:
+def list_missing_digests(exchange: ConfigurationExchange) -> tuple[str, ...]:
     """Return the digests of the documents to request from a peer."""
     offer = exchange.offer
     if offer is None:
         return ()
     if not offer.manifest_text:
         return (offer.version.digest,)
-    return tuple(part.digest for part in missing_parts(exchange))[:MAX_QUERY_DIGESTS]
+    return tuple(part.digest for part in list_missing_parts(exchange))[:MAX_QUERY_DIGESTS]
 
 
 def _is_wanted(exchange: ConfigurationExchange, version: ConfigurationVersion) -> bool:
@@ -186,7 +186,7 @@
 def _try_to_accept(exchange: ConfigurationExchange, offer: Offer) -> Accepted | Rejected | None:
     from myrtlehook_core.version.assembly import assemble_configuration
 
-    if missing_parts(exchange):
+    if list_missing_parts(exchange):
         return None
     exchange.offer = None
     assembled = assemble_configuration(offer.manifest_text, offer.texts, exchange.parsed_parts)
--- a/packages/core/src/myrtlehook_core/version/routes.py
+++ b/packages/core/src/myrtlehook_core/version/routes.py
@@ -34,9 +34,9 @@
     kind: RequestKind
     pools: tuple[PoolWeight, ...]
     timeout_s: float
-    """The longest time that a request may take, counted from its arrival."""
+    """The longest time that a request may last, counted from its arrival."""
     aim_s: float
-    """Target for the time to the response; for a stream, to its first event."""
+    """Target for the time to the answer; for a stream, to its first event."""
     priority: int
     """0 is served first."""
     attempts: int
--- a/packages/router/src/myrtlehook_router/connection/heads.py
+++ b/packages/router/src/myrtlehook_router/connection/heads.py
@@ -9,7 +9,7 @@
 import eventlet
 from eventlet import wsgi
 
-from myrtlehook_core import EntryLimits
+from myrtlehook_core import IngressLimits
 from myrtlehook_router.process.counters import Counters
 
 TARGET_KEY = "myrtlehook.target"
@@ -31,7 +31,7 @@
 
 
 def make_strict_protocol(
-    limits: Callable[[], EntryLimits], must_close: Callable[[], bool], counters: Counters
+    limits: Callable[[], IngressLimits], must_close: Callable[[], bool], counters: Counters
 ) -> type:
     """Make the protocol class for the listener of the routed interface.
 
--- a/packages/router/src/myrtlehook_router/connection/passing.py
+++ b/packages/router/src/myrtlehook_router/connection/passing.py
@@ -17,9 +17,9 @@
     MemberTable,
     Neighbours,
     choose_neighbour,
-    note_closed,
-    note_opened,
-    note_short,
+    record_closed,
+    record_opened,
+    record_short,
 )
 from myrtlehook_router.connection.introductions import (
     VERDICT_ACCEPTED,
@@ -160,7 +160,7 @@
         passed.introduction_sent = False
         passed.tried_neighbours.add(member.router_id)
         passed.neighbour_id = member.router_id
-        note_opened(self.neighbours, member.router_id)
+        record_opened(self.neighbours, member.router_id)
         self._connect(passed, neighbour_socket, member)
         return True
 
@@ -250,8 +250,8 @@
         passed.neighbour_socket.close()
         passed.neighbour_socket = None
         self._counters.add(f"passed.{reason}")
-        note_closed(self.neighbours, passed.neighbour_id)
-        note_short(self.neighbours, passed.neighbour_id, clocks.now_s())
+        record_closed(self.neighbours, passed.neighbour_id)
+        record_short(self.neighbours, passed.neighbour_id, clocks.now_s())
         if self._ask_next_neighbour(passed):
             return
         self._passed.pop(id(passed), None)
@@ -282,7 +282,7 @@
             passed.hub_listener = None
 
     def _remove_connection(self, passed: PassedConnection) -> None:
-        note_closed(self.neighbours, passed.neighbour_id)
+        record_closed(self.neighbours, passed.neighbour_id)
         self._passed.pop(id(passed), None)
 
 
--- a/packages/router/src/myrtlehook_router/process/caller_servers.py
+++ b/packages/router/src/myrtlehook_router/process/caller_servers.py
@@ -7,7 +7,7 @@
 import eventlet
 from eventlet import hubs, wsgi
 
-from myrtlehook_core import CoreOptions, EntryLimits, Listener, passes_on
+from myrtlehook_core import CoreOptions, IngressLimits, Listener, should_pass_on
 from myrtlehook_router.connection.heads import make_strict_protocol
 from myrtlehook_router.connection.ingress_listeners import IngressListener
 from myrtlehook_router.connection.listeners import PacedListener, get_silent_logger, open_listener
@@ -31,7 +31,7 @@
     """What a caller server needs from the process."""
 
     application: Application
-    limits: Callable[[], EntryLimits]
+    limits: Callable[[], IngressLimits]
     is_draining: Callable[[], bool]
     is_ready: Callable[[], bool]
     counters: Counters
@@ -120,7 +120,7 @@
         if self._passer is None or self._services.is_draining():
             return False
         options = self._services.options
-        return passes_on(
+        return should_pass_on(
             self._passer.neighbours, options, self.busy_meter.busy_fraction, self._is_crowded()
         )
 
--- a/packages/router/src/myrtlehook_router/process/core_tasks.py
+++ b/packages/router/src/myrtlehook_router/process/core_tasks.py
@@ -87,7 +87,7 @@
             if now_s >= grants_due_s:
                 self._handle(events.GrantsDue())
             if now_s >= next_tick_s:
-                waiting = self.core.entry.queued_requests > 0
+                waiting = self.core.ingress.queued_requests > 0
                 next_tick_s = now_s + (BUSY_TICK_S if waiting else IDLE_TICK_S)
                 self._handle(events.Tick())
             self._send_unsent_messages()
@@ -331,7 +331,7 @@
 
     def _record_quarantine(self, action: actions.QuarantineChanged) -> None:
         self._counters.add("quarantine.held" if action.ends else "quarantine.lifted")
-        left_s = action.held_until_s - clocks.now_s()
+        left_s = action.quarantined_until_s - clocks.now_s()
         _log.warning(
             "request quarantined" if action.ends else "request no longer quarantined",
             fingerprint=action.fingerprint.hex(),
--- a/packages/router/src/myrtlehook_router/process/daemons.py
+++ b/packages/router/src/myrtlehook_router/process/daemons.py
@@ -7,7 +7,14 @@
 
 import eventlet
 
-from myrtlehook_core import MemberState, RouterCore, RouterIdentity, Settings, core_options, events
+from myrtlehook_core import (
+    MemberState,
+    RouterCore,
+    RouterIdentity,
+    Settings,
+    events,
+    make_core_options,
+)
 from myrtlehook_router.connection.listeners import serve_http
 from myrtlehook_router.connection.platforms import PlatformClient
 from myrtlehook_router.process import clocks
@@ -76,7 +83,7 @@
         settings = self._settings
         address = f"{settings.peers.address}:{settings.peers.port}"
         identity = RouterIdentity(settings.vm, address, incarnation)
-        core = RouterCore(identity, core_options(settings), random.random)
+        core = RouterCore(identity, make_core_options(settings), random.random)
         core.add_seeds([(seed.vm, seed.address) for seed in settings.seeds], clocks.now_s())
         return CoreTask(
             core,
--- a/packages/router/src/myrtlehook_router/process/gateway_daemons.py
+++ b/packages/router/src/myrtlehook_router/process/gateway_daemons.py
@@ -13,13 +13,13 @@
 from eventlet import wsgi
 
 from myrtlehook_core import (
-    EntryLimits,
+    IngressLimits,
     Listener,
     MemberState,
     RouterCore,
     RouterIdentity,
     Shedding,
-    count_held,
+    count_quarantined,
     events,
 )
 from myrtlehook_router.connection.listeners import adopt_listener, get_silent_logger, open_listener
@@ -253,7 +253,7 @@
             if self._passer is not None:
                 self._passer.abort_dead_neighbours()
 
-    def _get_limits(self) -> EntryLimits:
+    def _get_limits(self) -> IngressLimits:
         return self._core_task.configuration.limits
 
     def _answer_readiness(self, environ: dict[str, Any], start_response: Any) -> list[bytes]:
@@ -273,7 +273,7 @@
             ),
             "backend_connections_opened": self._connection_pool.opened_count,
             "shed_part": self._shedding.refused_fraction,
-            "quarantined_requests": count_held(core.quarantine, clocks.now_s()),
+            "quarantined_requests": count_quarantined(core.quarantine, clocks.now_s()),
             "reads_source": float(self._read_switch.wanted),
             "log_lines_dropped": self._log_stream.dropped_lines,
             "busy_part": self._caller_server.busy_meter.busy_fraction,
--- a/packages/router/src/myrtlehook_router/process/lags.py
+++ b/packages/router/src/myrtlehook_router/process/lags.py
@@ -4,7 +4,7 @@
 
 import eventlet
 
-from myrtlehook_core import Shedding, note_lag
+from myrtlehook_core import Shedding, record_lag
 from myrtlehook_router.process import clocks
 from myrtlehook_router.process.logs import get_logger
 
@@ -31,7 +31,7 @@
         eventlet.sleep(interval_s)
         now_s = clocks.now_s()
         lag_s = now_s - due_s
-        note_lag(shedding, lag_s, now_s)
+        record_lag(shedding, lag_s, now_s)
         if was_shedding != (shedding.refused_fraction > 0.0):
             was_shedding = shedding.refused_fraction > 0.0
             _log.info(
--- a/packages/router/src/myrtlehook_router/request/gateways.py
+++ b/packages/router/src/myrtlehook_router/request/gateways.py
@@ -13,11 +13,11 @@
     RefusalReason,
     RequestSpecification,
     ShareStanding,
-    book_return,
     choose_pool,
     count_arrival,
     find_share_tokens,
     fingerprint_request,
+    schedule_retry,
     should_shed,
 )
 from myrtlehook_router.connection.server_connections import ConnectionPool
@@ -184,7 +184,7 @@
     """Make the refusal of a request because this router and its neighbours are overloaded."""
     now_s = clocks.now_s()
     shedding = services.requests.shedding
-    wait_s = book_return(shedding, now_s, request.deadline_s - now_s, random.random)
+    wait_s = schedule_retry(shedding, now_s, request.deadline_s - now_s, random.random)
     reason = RefusalReason.ROUTER_OVERLOADED
     return Refusal(reason, REFUSAL_MESSAGES[reason], wait_s)
 
--- a/tests/standins/engine_models.py
+++ b/tests/standins/engine_models.py
@@ -34,7 +34,7 @@
 from myrtlehook_core.process.engine_decisions import (
     EngineQueues,
     QueueContext,
-    find_next_grant,
+    find_next_grant_s,
     grant_due,
 )
 from myrtlehook_core.process.engine_loads import (
@@ -43,9 +43,9 @@
     estimate_read_end_s,
 )
 from myrtlehook_core.process.engine_queues import (
-    receive_admission_release,
-    receive_progress,
-    receive_request,
+    handle_admission_progress,
+    handle_admission_release,
+    handle_admission_request,
     set_owned_engines,
     tick_queues,
 )
@@ -169,7 +169,9 @@
         )
         self._asked[request_id] = message
         self._decide(
-            lambda context: receive_request(self.queues, context, ROUTER, message, self.now_s)
+            lambda context: handle_admission_request(
+                self.queues, context, ROUTER, message, self.now_s
+            )
         )
 
     def median_forecast_error_s(self, learned: int) -> float:
@@ -190,9 +192,9 @@
         context = QueueContext(
             options=self.options,
             configuration=self.configuration,
-            reachable=lambda name: True,
-            out=ActionList(),
-            post=post,
+            is_reachable=lambda name: True,
+            actions=ActionList(),
+            outbox=post,
         )
         work(context)
         for _, message in post.messages:
@@ -210,7 +212,7 @@
     def _turn(self) -> None:
         """Let the owner look for grants that are due, as its process does."""
         self._decide(lambda context: grant_due(self.queues, context, self.now_s))
-        due_s = find_next_grant(self.queues, self.options, self.now_s)
+        due_s = find_next_grant_s(self.queues, self.options, self.now_s)
         wake_s = min(max(due_s, self.now_s + SHORTEST_TURN_S), self.now_s + TICK_S)
         self.at(wake_s, self._turn)
 
@@ -258,7 +260,9 @@
         forecast.begun_s = self.now_s
         self.forecasts.append(forecast)
         message = AdmissionProgress(run.request_id, ENGINE)
-        self._decide(lambda context: receive_progress(self.queues, context, message, self.now_s))
+        self._decide(
+            lambda context: handle_admission_progress(self.queues, context, message, self.now_s)
+        )
 
     def _tell_end(self, run: _Run) -> None:
         message = AdmissionRelease(run.request_id, ENGINE, ran=True)
@@ -266,7 +270,7 @@
         self.at(
             heard_s,
             lambda: self._decide(
-                lambda context: receive_admission_release(self.queues, context, message, self.now_s)
+                lambda context: handle_admission_release(self.queues, context, message, self.now_s)
             ),
         )
 
--- a/tests/standins/pools.py
+++ b/tests/standins/pools.py
@@ -5,7 +5,7 @@
     Configuration,
     ConfigurationVersion,
     EngineCapacity,
-    EntryLimits,
+    IngressLimits,
     Pool,
     PoolKind,
     PromptPart,
@@ -75,5 +75,5 @@
         version=ConfigurationVersion(1, ""),
         workspaces=workspaces,
         pools={POOL: pool},
-        limits=EntryLimits(tokens_per_s=tokens_per_s),
+        limits=IngressLimits(tokens_per_s=tokens_per_s),
     )
--- a/tests/steps/accountant_steps.py
+++ b/tests/steps/accountant_steps.py
@@ -14,8 +14,8 @@
     PoolAccount,
     compute_level,
     compute_shared_tokens,
-    record_demand,
-    record_report,
+    record_demand_report,
+    replace_report,
 )
 from myrtlehook_core.process.admission_messages import DemandReport, DemandRow
 
@@ -35,10 +35,10 @@
         now_s = 0.0
         for router, rows in heard:
             now_s += REPORT_STEP_S
-            record_demand(accounts, router, DemandReport("p", tuple(rows)), capacity, now_s)
+            record_demand_report(accounts, router, DemandReport("p", tuple(rows)), capacity, now_s)
         # Any later report brings the level up to date.
         now_s += REPORT_STEP_S
-        told = record_demand(accounts, "r9", DemandReport("p", ()), capacity, now_s)
+        told = record_demand_report(accounts, "r9", DemandReport("p", ()), capacity, now_s)
         sums = _sum_last(heard, now_s)
         asked = [row.asked_tokens for row in sums]
         level = compute_level(asked, compute_shared_tokens(account_of(sums), float(capacity)))
@@ -53,7 +53,7 @@
 def account_of(rows: Iterable[DemandRow]) -> PoolAccount:
     """Return the account of one router that has reported all of this."""
     account = PoolAccount()
-    record_report(account, "r", tuple(rows), 0.0)
+    replace_report(account, "r", tuple(rows), 0.0)
     return account
 
 
--- a/tests/steps/admission_steps.py
+++ b/tests/steps/admission_steps.py
@@ -23,7 +23,7 @@
     choose_pool,
     find_route,
 )
-from myrtlehook_core.process.accountants import compute_level, record_demand
+from myrtlehook_core.process.accountants import compute_level, record_demand_report
 from myrtlehook_core.process.admission_messages import DemandReport, DemandRow
 from myrtlehook_core.process.ejections import (
     FAILURES_TO_EJECT,
@@ -124,7 +124,7 @@
         _check_outcomes(history, killed_may_vanish=True)
         for name, core in history.alive.items():
             assert not core.admissions.open, (name, core.admissions.open)
-            assert core.entry.queued_requests == 0, name
+            assert core.ingress.queued_requests == 0, name
             for load in core.engine_queues.loads.values():
                 assert not load.waiting and not load.granted, (name, load)
 
@@ -153,7 +153,7 @@
         total = sum(sizes)
         # Engines take just what is configured.
         report = DemandReport("p", (DemandRow("w", total, 0, math.ceil(total / over)),))
-        apply_level(shares, record_demand({}, "r", report, total / over, 0.0), 0.0)
+        apply_level(shares, record_demand_report({}, "r", report, total / over, 0.0), 0.0)
         held: Counter[int] = Counter()
         for size in sizes:
             held[record_asked(shares, "p", "w", size, 0.1)] += size
--- a/tests/steps/bound_property_steps.py
+++ b/tests/steps/bound_property_steps.py
@@ -68,7 +68,7 @@
             done = core.handle(events.RequestArrived(request), 0.0)
             refused = [item for item in done if isinstance(item, actions.Refuse)]
             assert all(item.retry_after_s >= 1.0 for item in refused)
-            assert core.entry.queued_requests <= most
-            assert core.entry.queued_bytes <= most_bytes
+            assert core.ingress.queued_requests <= most
+            assert core.ingress.queued_bytes <= most_bytes
 
     check()
--- a/tests/steps/cold_engine_steps.py
+++ b/tests/steps/cold_engine_steps.py
@@ -11,9 +11,9 @@
 from myrtlehook_core import BackendServer, ColdStart, CoreOptions
 from myrtlehook_core.process.cold_engines import (
     ColdPace,
-    find_next_grant_s,
+    delay_next_grant,
+    find_paced_grant_s,
     make_pace,
-    record_grant,
 )
 from standins.histories import History, Network
 from standins.pools import make_request
@@ -210,9 +210,9 @@
     granted_s = []
     now_s = start_s
     while now_s < end_s:
-        if find_next_grant_s(pace, now_s) <= now_s:
+        if find_paced_grant_s(pace, now_s) <= now_s:
             granted_s.append(now_s)
-            record_grant(pace, now_s)
+            delay_next_grant(pace, now_s)
         now_s += STEP_S
     return granted_s
 
--- a/tests/steps/engine_model_steps.py
+++ b/tests/steps/engine_model_steps.py
@@ -13,7 +13,7 @@
 from myrtlehook_core.process.admission_messages import HeldAdmissions
 from myrtlehook_core.process.engine_decisions import QueueContext
 from myrtlehook_core.process.engine_models import make_estimate
-from myrtlehook_core.process.engine_queues import apply_held_admissions, set_owned_engines
+from myrtlehook_core.process.engine_queues import handle_held_admissions, set_owned_engines
 from myrtlehook_core.process.outboxes import MessageOutbox
 from standins.engine_models import ENGINE, ROUTER, OwnedEngine, Traits, arrive, flood
 
@@ -203,11 +203,11 @@
     queue_context = QueueContext(
         options=context.new.options,
         configuration=context.new.configuration,
-        reachable=lambda name: True,
-        out=ActionList(),
-        post=MessageOutbox(),
+        is_reachable=lambda name: True,
+        actions=ActionList(),
+        outbox=MessageOutbox(),
     )
-    apply_held_admissions(context.new.queues, queue_context, ROUTER, message, context.new.now_s)
+    handle_held_admissions(context.new.queues, queue_context, ROUTER, message, context.new.now_s)
     context.estimate = estimate
 
 
--- a/tests/steps/network_property_steps.py
+++ b/tests/steps/network_property_steps.py
@@ -62,7 +62,7 @@
 
 def _leases_on_nothing(drive: Drive) -> set[int]:
     """Return the leases that an owner counts though their holder runs nothing on them."""
-    used = {run.grant_id for core in drive.cores.values() for run in core.entry.running.values()}
+    used = {run.grant_id for core in drive.cores.values() for run in core.ingress.running.values()}
     held = {
         grant_id
         for core in drive.cores.values()
--- a/tests/steps/overload_steps.py
+++ b/tests/steps/overload_steps.py
@@ -13,7 +13,7 @@
 from platform_operator_steps import run_losses
 from platform_steps import METRICS_PORT, node
 
-from myrtlehook_core import Shedding, book_return
+from myrtlehook_core import Shedding, schedule_retry
 from myrtlehook_operator.request.losses import report_losses
 from myrtlehook_operator.request.stories import read_line, tell_story
 from standins.attempts import make_headers, new_id
@@ -158,7 +158,7 @@
 def refuse_callers(context: Any, callers: int, left_s: float, rate: float) -> None:
     shedding = Shedding(refused_fraction=0.5, served_count=rate)
     draw = random.Random(1).random
-    context.waits_s = [book_return(shedding, 0.0, left_s, draw) for _ in range(callers)]
+    context.waits_s = [schedule_retry(shedding, 0.0, left_s, draw) for _ in range(callers)]
 
 
 @then("each is told to wait between {least_s:g} and {most_s:g} s")
--- a/tests/steps/passing_steps.py
+++ b/tests/steps/passing_steps.py
@@ -22,9 +22,9 @@
     Neighbours,
     RouterIdentity,
     choose_neighbour,
-    note_opened,
-    note_short,
-    passes_on,
+    record_opened,
+    record_short,
+    should_pass_on,
 )
 from myrtlehook_core.process.members import apply_member_row
 from myrtlehook_core.process.membership_messages import MemberRow
@@ -236,7 +236,7 @@
     for _ in range(count):
         member = choose_neighbour(context.neighbours, table, 0.0, context.draw, frozenset())
         assert member is not None
-        note_opened(context.neighbours, member.router_id)
+        record_opened(context.neighbours, member.router_id)
         context.chosen.append(member.router_id)
 
 
@@ -249,7 +249,7 @@
 
 @then("a neighbour that is short is left alone for a second")
 def check_left_alone(context: Any) -> None:
-    note_short(context.neighbours, "r0:1", 0.0)
+    record_short(context.neighbours, "r0:1", 0.0)
     for now_s, wanted in ((0.5, False), (1.1, True)):
         drawn = (
             choose_neighbour(context.neighbours, context.members, now_s, context.draw, frozenset())
@@ -263,7 +263,7 @@
 @when("all near neighbours are short")
 def note_near_short(context: Any) -> None:
     for number in range(context.near):
-        note_short(context.neighbours, f"r{number}:1", 0.0)
+        record_short(context.neighbours, f"r{number}:1", 0.0)
 
 
 @then(
@@ -277,7 +277,7 @@
             context.neighbours, context.members, 0.5, context.draw, frozenset()
         )
         assert member is not None, "no neighbour was asked, though those far are idle"
-        note_opened(context.neighbours, member.router_id)
+        record_opened(context.neighbours, member.router_id)
         chosen[member.router_id] += 1
     near = {f"r{number}:1" for number in range(context.near)}
     far = set(context.members.members) - near
@@ -295,7 +295,7 @@
 @then("with a busy part of {part:g} it passes on {count:d} of 100 connections")
 def check_part(context: Any, part: float, count: int) -> None:
     neighbours = Neighbours()
-    passed = sum(passes_on(neighbours, CoreOptions(), part, False) for _ in range(100))
+    passed = sum(should_pass_on(neighbours, CoreOptions(), part, False) for _ in range(100))
     assert passed == count, passed
 
 
@@ -307,5 +307,5 @@
     options = CoreOptions(passing_starts_part=limit, passing_all_part=limit)
     for part, wanted in ((below, 0), (above, count)):
         neighbours = Neighbours()
-        passed = sum(passes_on(neighbours, options, part, False) for _ in range(count))
+        passed = sum(should_pass_on(neighbours, options, part, False) for _ in range(count))
         assert passed == wanted, (part, passed)
--- a/tests/steps/quarantine_property_steps.py
+++ b/tests/steps/quarantine_property_steps.py
@@ -23,13 +23,13 @@
     fingerprint_request,
 )
 from myrtlehook_core.process.quarantine import (
-    FIRST_HOLD_S,
+    FIRST_QUARANTINE_S,
     MAX_SUSPECTS,
     MAX_VERDICTS,
     Quarantine,
     count_end,
-    find_remaining_hold_s,
-    hold_request,
+    find_remaining_quarantine_s,
+    quarantine_request,
 )
 from myrtlehook_core.process.quarantine_messages import ServerEndReport
 from standins.histories import History, Network
@@ -118,7 +118,7 @@
         assert len(held) <= 0.05 * len(asked), f"{len(held)} of {len(asked)} were held back"
         assert len(served) >= 0.8 * len(asked), f"{len(served)} of {len(asked)} were served"
         assert not any(
-            find_remaining_hold_s(core.quarantine, POPULAR, history.now_s)
+            find_remaining_quarantine_s(core.quarantine, POPULAR, history.now_s)
             for core in history.alive.values()
         )
 
@@ -153,7 +153,7 @@
     return [
         entry
         for entry, core in history.alive.items()
-        if find_remaining_hold_s(core.quarantine, name.encode(), history.now_s)
+        if find_remaining_quarantine_s(core.quarantine, name.encode(), history.now_s)
     ]
 
 
@@ -213,7 +213,7 @@
 @when("it ends well once its hold is over, at a router that then starts again")
 def end_well_later(context: Any) -> None:
     history = context.history
-    history.run_until(history.now_s + FIRST_HOLD_S + 1.0)
+    history.run_until(history.now_s + FIRST_QUARANTINE_S + 1.0)
     assert not _holders(history, "spoilt")
     history.ends_engine = lambda request: False
     entry = list(history.alive)[2]
@@ -249,10 +249,10 @@
         now_s += 1.0
         suspect = count_end(quarantine, _report(), now_s)
         assert suspect is not None
-        hold_request(quarantine, SPOILT, suspect, now_s)
-        assert find_remaining_hold_s(quarantine, SPOILT, now_s) == expected_s
+        quarantine_request(quarantine, SPOILT, suspect, now_s)
+        assert find_remaining_quarantine_s(quarantine, SPOILT, now_s) == expected_s
         now_s += expected_s
-        assert find_remaining_hold_s(quarantine, SPOILT, now_s) == 0.0
+        assert find_remaining_quarantine_s(quarantine, SPOILT, now_s) == 0.0
 
 
 def _hold(quarantine: Quarantine, now_s: float) -> None:
@@ -260,7 +260,7 @@
     assert count_end(quarantine, _report(200, 150), now_s) is not None
     suspect = count_end(quarantine, _report(80), now_s)
     assert suspect is not None
-    hold_request(quarantine, SPOILT, suspect, now_s)
+    quarantine_request(quarantine, SPOILT, suspect, now_s)
 
 
 @then("a held request is refused while it waits for an engine, and while it waits for a slot")
@@ -303,7 +303,7 @@
 @then("it is told to come back after the hold")
 def check_told(context: Any) -> None:
     waits_s = [item.retry_after_s for item in context.refused]
-    assert all(59.0 < wait_s <= FIRST_HOLD_S for wait_s in waits_s), waits_s
+    assert all(59.0 < wait_s <= FIRST_QUARANTINE_S for wait_s in waits_s), waits_s
 
 
 @then("two requests have one fingerprint just if caller, method, path and body agree")
@@ -327,5 +327,5 @@
         name = str(number).encode()
         suspect = count_end(quarantine, _report(name=name), 10.0)
         assert suspect is not None
-        hold_request(quarantine, name, suspect, 10.0)
+        quarantine_request(quarantine, name, suspect, 10.0)
     assert (len(quarantine.suspects), len(quarantine.verdicts)) == (counted, held)
--- a/tests/steps/shedding_steps.py
+++ b/tests/steps/shedding_steps.py
@@ -6,7 +6,7 @@
 
 from behave import then, when
 
-from myrtlehook_core import Shedding, note_lag, sheds
+from myrtlehook_core import Shedding, record_lag, should_refuse
 
 STEP_S = 0.02
 REFUSAL_PART = 0.1
@@ -34,7 +34,7 @@
             self.now_s += STEP_S
             self.backlog_s = max(self.backlog_s - STEP_S, 0.0)
             self.lags_s.append((self.now_s, self.backlog_s))
-            note_lag(self.shedding, self.backlog_s, self.now_s)
+            record_lag(self.shedding, self.backlog_s, self.now_s)
             due += arrivals_per_s * STEP_S * draw.uniform(0.5, 1.5)
             while due >= 1.0:
                 due -= 1.0
@@ -42,7 +42,7 @@
 
     def _take(self, workspace: str) -> None:
         cost_s = 1.0 / self.rate_per_s
-        if sheds(self.shedding, workspace):
+        if should_refuse(self.shedding, workspace):
             self.refused_s.append((self.now_s, workspace))
             self.backlog_s += REFUSAL_PART * cost_s
             return
@@ -67,7 +67,7 @@
 def freeze_router(context: Any, frozen_s: float, arrivals: float, seconds: float) -> None:
     router = context.router
     router.now_s += frozen_s
-    note_lag(router.shedding, frozen_s, router.now_s)
+    record_lag(router.shedding, frozen_s, router.now_s)
     router.run(arrivals, seconds)
 
 
