--- a/tests/features/admission.feature
+++ b/tests/features/admission.feature
@@ -1,20 +1,20 @@
-Feature: Admission to model engines, shares, caches, routes and discovery hold in every history
+Feature: Properties of admission to model engines, shares, caches, routes and discovery that hold in every history
 
   Scenario: Calm histories
-    Then for any requests on a sound network, each has one end, and engines are not overfilled
+    Then for any requests on a sound network, each has one outcome, and engines are not overfilled
 
   Scenario: Troubled histories
-    Then for any loss, doubling, kill and broken engine, no request has two ends or waits for ever
+    Then for any loss, doubling, kill and broken engine, no request has two outcomes or waits forever
 
   Scenario: Max-min shares
-    Then for any demands, the level gives everything away and nobody more than they ask
+    Then for any demands, the level gives away all capacity and no workspace more than it asks for
     And for any request sizes, each tier of a workspace holds one level within two requests
-    And two workspaces that flood one engine unevenly receive alike
+    And two workspaces that flood one engine unevenly receive similar amounts
     And a workspace that floods suddenly gets little more than one that has flooded before
     And once a flood has lasted for a window, every request of a small workspace is served
 
   Scenario: Workspaces that ask for little do not wait behind the shares of those that flood
-    Then at an engine, they come before others' shares, and those before what exceeds a share
+    Then at an engine, they go before others within their shares, and those before requests above one
     And in a flood of twice the capacity, answers to a small workspace begin within its aim
 
   Scenario: Prompt caches
@@ -24,7 +24,7 @@
     Then for any prefixes, the longest one that begins the path finds the route
     And a split route gives each pool its part, and one request always the same pool
 
-  Scenario: Configurations that are published whole
+  Scenario: Configurations that are published as one document
     Then for any order of whole configurations, the version in force only rises
 
   Scenario: Discovery
@@ -32,19 +32,19 @@
     And a server that lapsed during an outage stays for two seconds, and one that left is gone
 
   Scenario: Ejection
-    Then an engine that failed three times is trusted again once an answer begins
+    Then an engine that failed three times is used again once an answer begins
     And a crash that ends many requests at once ejects a server once, and for the shortest time
 
-  Scenario: A request that its home engine refuses takes the beginning of its prompt along
+  Scenario: A request that its home engine refuses fetches the beginning of its prompt from there
     When 60 requests of one session come at once to engines that read 30 tokens a ms
     Then those at other engines name the home as the source, and read only what is their own
-    And without the option nobody names a source, and other engines read the session's part
+    And without the option no request names a source, and other engines read the session's part
 
-  Scenario: A prompt is never taken from an engine of another pool
+  Scenario: A prompt is never fetched from an engine of another pool
     When a router has sent a prompt's parts to engines of two pools
     Then the source for a request is an engine of its own pool, or none
 
-  Scenario: A prompt that takes nearly its whole aim to read is tried
+  Scenario: A prompt whose reading takes nearly its whole first-token target is sent
     When a prompt of 16000 tokens with an aim of 0.6 s comes to idle engines
     Then it is sent, and not refused
 
@@ -74,5 +74,5 @@
     And it is frozen for 3 s and gets 50 requests a second for 5 s more
     Then it refused none of them
 
-  Scenario: An accountant's sums are those of the last reports, however they came
-    Then for any reports of any routers, the level is the one of the last reports together
+  Scenario: An accountant sums the last report of each router, whatever came before
+    Then for any reports of any routers, the level is the one computed from each router's last report
--- a/tests/features/cold_engines.feature
+++ b/tests/features/cold_engines.feature
@@ -1,7 +1,8 @@
-Feature: Cold engines get no more than they take, whoever owns them and however they are known
+Feature: Cold engines get no more requests than they can take, whichever router owns them and however they are detected
 
-  # The load pattern "cold return": engines that come back under a flood, and fall over again.
-  # Guards against: a cold engine of the heating site got 20 and more requests in a second.
+  # Load pattern "cold return": engines that come back under a flood are overloaded while cold,
+  # and fail again. Guards against: a cold engine of the heating site got 20 or more requests in a
+  # second.
 
   Scenario Outline: An engine comes back cold under a flood
     Given 6 routers and 6 engines in 3 zones whose cold starts last 3 s, 10 requests a second
--- a/tests/features/engines.feature
+++ b/tests/features/engines.feature
@@ -1,7 +1,6 @@
-Feature: An engine is taken as its answers show it, however fast or slow it is
-  One owner and one engine in simulated time. Engines read 5 times slower to 5 times faster
-  than any that were measured, in steps and pieces of any size, and begin answers at once or
-  late.
+Feature: Owners learn an engine's speed from its answers, however fast or slow it is
+  One owner and one engine in simulated time. Engines read from 5 times slower to 5 times faster
+  than any measured engine, in steps and chunks of any size, and begin answers at once or late.
 
   Scenario: An engine is kept reading, and is never given much more than it needs
     Then for any engine, while work waits it reads for 0.95 of the time or more
@@ -12,7 +11,7 @@
 
   Scenario Outline: An engine that changes is taken as it is now
     When an engine becomes <factor> times as slow, while work waits
-    Then a second later, or 12 steps with answers, its rate and window are what they stay
+    Then a second later, or 12 steps with answers, its estimated rate and window have settled
 
     Examples:
       | factor |
@@ -21,12 +20,12 @@
 
   Scenario: Answers that come late for another reason do not make an engine slow
     When an engine's answers are held up for 0.5 s, once in 3 s, while work waits
-    Then its rate is believed to be within 0.2 of what it was
+    Then its estimated rate stays within 0.2 of what it was
 
   Scenario: A new owner is handed what the last one had learned
     When an engine is taken over from an owner that had learned it
-    Then its new owner believes what the last one did, and for how long it has
+    Then its new owner has the last one's estimate, with the same age
 
   Scenario: A new engine of a pool is expected to be like the others
     When an engine joins the pool of one that is known
-    Then it is expected to be like that one
+    Then its first estimate is that of the known one
--- a/tests/features/shares.feature
+++ b/tests/features/shares.feature
@@ -1,15 +1,15 @@
-Feature: Workspaces receive alike, whatever the engines can do and however a router's callers come
+Feature: Workspaces receive fair shares, whatever engines can do and however callers spread
 
-  Scenario: On-call can tell what a workspace's share rests on
+  Scenario: The log shows what a workspace's share is computed from
     When a workspace floods engines that 120000 tokens a second are configured for
-    Then the accountant has told the level and who is above it, once a second
+    Then the accountant has reported the level and the workspaces above it, once a second
 
-  Scenario: On-call can tell from logs what a workspace asked for, received, and was refused for
+  Scenario: The logs show what a workspace asked for, what it received, and why it was refused
     Given logs of 8 s in which "a" is answered and "b" is refused half of what it asks, for two reasons
     Then the tool's worst share is that of "b", 0.5 of it, with both reasons
-    And the tool tells no share of "c", which was refused nothing in one of these seconds
+    And the tool reports no share of "c", which was refused nothing in one of these seconds
 
-  Scenario Outline: What engines cannot do any more is missed by all alike
+  Scenario Outline: All workspaces bear a loss of engines alike
     When <lost> of 4 engines are lost while "a" floods, "b" asks for slightly less than its share and "c" for slightly more
     Then over six seconds each workspace receives half of what the best served one does, or of what it asks
 
@@ -19,12 +19,13 @@
       | 2    |
       | 3    |
 
-  Scenario: Long prompts cost a workspace nothing of its share
+  Scenario: Long prompts do not reduce a workspace's share
     When "a" floods in short prompts, and "b" and "c" ask for more than their shares, "b" in long ones
     Then over six seconds each workspace receives half of what the best served one does, or of what it asks
 
-  # Shares rested on requests that still waited, so that a flood of callers who come back got nothing.
-  Scenario Outline: Callers that come back to fewer engines take no workspace's share away
+  # Guards against: shares were computed from waiting requests only, so that a flood of callers that
+  # retried received nothing.
+  Scenario Outline: Retries to fewer engines take no workspace's share away
     When of five workspaces "d" asks in prompts of <tokens> tokens, callers of each reach <reached> routers, and <routers> of 12 routers and <engines> of 8 engines are lost
     Then from 4 s after the loss on, each workspace receives 0.5 of what the best served one does, or of what it asks, in any six seconds
 
@@ -33,7 +34,8 @@
       | 12000  | 2       | 0       | 4       |
       | 3000   | 1       | 4       | 4       |
 
-  # Shares of a capacity that is configured too low left most of the service to short prompts.
+  # Guards against: with a configured capacity that is too low, shares left most of the service to
+  # short prompts.
   Scenario: Engines that do more than is configured take no workspace's share away
     When a third of what engines do is configured, "d" of five workspaces asks in prompts of 12000 tokens, and 4 of 12 routers are lost
     Then from 4 s after the loss on, each workspace receives 0.5 of what the best served one does, or of what it asks, in any six seconds
@@ -47,7 +49,7 @@
       | 1      |
       | 8      |
 
-  Scenario: What exceeds a share is refused without asking engines while they take none of it
+  Scenario: Requests above a share are refused without asking engines that would refuse them
     When "a" asks for fifty times its share for 6 s, beside "d" within its own
     Then engines' owners have refused less than half as often as when each request asks them
     And engines have begun 0.97 or more of what they begin when each request asks them
--- a/tests/standins/engine_models.py
+++ b/tests/standins/engine_models.py
@@ -1,8 +1,8 @@
-"""A model engine and its owner alone in one simulated time, for properties of grants.
+"""Simulates one model engine and its owner, for properties of grants and of engine models.
 
-The engine works in steps: each reads a piece of the prompts that wait, oldest first, and
-makes a token for every request that has been read. An answer's first event leaves the
-engine some time after the step that read the last of its prompt.
+The engine works in steps: each step reads a chunk of the waiting prompts, oldest first, and
+generates a token for every request whose prompt has been read. An answer's first event leaves
+the engine some time after the step that read the end of its prompt.
 """
 
 import heapq
@@ -55,24 +55,24 @@
 POOL = "model"
 ROUTER = "r0"
 TICK_S = 0.02
-SHORTEST_TURN_S = 0.002
-FAR_S = 1e6
-"""An aim that nobody misses: nothing is refused."""
+MIN_TURN_S = 0.002
+UNLIMITED_AIM_S = 1e6
+"""A first-token target that no request can miss, so that nothing is refused."""
 
 MEMORY_TOKENS = 100_000_000
 
 
 @dataclass(slots=True)
 class Traits:
-    """How an engine works."""
+    """Speed, delays and slots of a simulated engine."""
 
     read_tokens_per_s: float = 40_000.0
-    """While it reads, without what a step takes besides."""
+    """Prompt tokens read per second, without the fixed time of each step."""
     step_s: float = 0.005
     chunk_tokens: int = 1024
     first_delay_s: float = 0.0
     transit_s: float = 0.002
-    """From the owner to the engine, and again as long back."""
+    """One-way delay between the owner and the engine."""
     slots: int = 1000
 
 
@@ -80,21 +80,21 @@
 class _Run:
     request_id: str
     unread_tokens: int
-    left_tokens: int
+    output_tokens_left: int
 
 
 @dataclass(slots=True)
 class CheckedForecast:
-    """When an answer was expected to begin, told at its grant, and when it did."""
+    """When an answer was expected to begin, as forecast at its grant, and when it began."""
 
     expected_s: float
     samples: int
-    """Answers that the forecast was made from."""
+    """The number of answers that the forecast was made from."""
     begun_s: float = 0.0
 
 
 class OwnedEngine:
-    """One engine, its owner, and all that happens between them."""
+    """One engine, its owner, and the messages between them, in simulated time."""
 
     def __init__(self, traits: Traits, seed: int = 1) -> None:
         self.traits = traits
@@ -109,13 +109,13 @@
         """Time in which requests waited at the owner."""
         self.most_unread_tokens = 0
         self.forecasts: list[CheckedForecast] = []
-        """Of all answers that have begun."""
+        """The forecasts of all answers that have begun."""
         self.step_factor = 1.0
         """How many times longer than usual a step takes."""
         self._expected: dict[str, CheckedForecast] = {}
         self._numbers = itertools.count()
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
-        self._asked: dict[str, AdmissionRequest] = {}
+        self._ungranted: dict[str, AdmissionRequest] = {}
         server = BackendServer(ENGINE, POOL, "10.0.1.1:80", "z", traits.slots, False, False)
         pool = Pool(POOL, PoolKind.MODEL, (), 1.0, 2.0, False, 10.0, EngineCapacity(MEMORY_TOKENS))
         self.configuration = Configuration(
@@ -126,25 +126,25 @@
         self.queues = EngineQueues()
         set_owned_engines(self.queues, {ENGINE}, self.configuration, -1.0)
         self._step()
-        self._turn()
+        self._run_grant_turn()
         self._tick()
 
     @property
     def load(self) -> EngineLoad:
-        """What the owner knows."""
+        """The owner's state of the engine."""
         return self.queues.loads[ENGINE]
 
     @property
     def window_tokens(self) -> float:
-        """How much the owner keeps unread at the engine."""
+        """The number of unread tokens that the owner keeps at the engine."""
         return compute_window_tokens(self.load, self.options)
 
     def at(self, time_s: float, work: Callable[[], None]) -> None:
-        """Do something at a time."""
+        """Schedule work at a simulated time."""
         heapq.heappush(self._queue, (time_s, next(self._numbers), work))
 
     def run_until(self, end_s: float) -> None:
-        """Play up to a time."""
+        """Run the simulation up to a time."""
         while self._queue and self._queue[0][0] <= end_s:
             time_s, _, work = heapq.heappop(self._queue)
             self.now_s = time_s
@@ -152,7 +152,7 @@
         self.now_s = end_s
 
     def ask(self, tokens: int, output_tokens: int) -> None:
-        """Let a request arrive at the owner."""
+        """Send an admission request to the owner."""
         request_id = f"q{next(self._numbers)}"
         message = AdmissionRequest(
             request_id=request_id,
@@ -161,13 +161,13 @@
             parts=(PartRow(request_id, tokens),),
             prompt_tokens=tokens,
             output_tokens=output_tokens,
-            aim_left_ms=round(FAR_S * 1000.0),
-            deadline_left_ms=round(FAR_S * 1000.0),
+            aim_left_ms=round(UNLIMITED_AIM_S * 1000.0),
+            deadline_left_ms=round(UNLIMITED_AIM_S * 1000.0),
             priority=1,
             tier=0,
             hop=0,
         )
-        self._asked[request_id] = message
+        self._ungranted[request_id] = message
         self._decide(
             lambda context: handle_admission_request(
                 self.queues, context, ROUTER, message, self.now_s
@@ -175,7 +175,7 @@
         )
 
     def median_forecast_error_s(self, learned: int) -> float:
-        """Return by how much forecasts err that were made after so many answers."""
+        """Return the median error of the forecasts made from at least ``learned`` answers."""
         errors_s = [
             abs(forecast.begun_s - forecast.expected_s)
             for forecast in self.forecasts
@@ -184,37 +184,37 @@
         return median(errors_s)
 
     def busy_part(self) -> float:
-        """Return in which part of the time there was something to read while work waited."""
+        """Return the fraction of time with something to read, while requests waited."""
         return self.read_s / self.waiting_s if self.waiting_s else 1.0
 
     def _decide(self, work: Callable[[QueueContext], object]) -> None:
-        post = MessageOutbox()
+        outbox = MessageOutbox()
         context = QueueContext(
             options=self.options,
             configuration=self.configuration,
             is_reachable=lambda name: True,
             actions=ActionList(),
-            outbox=post,
+            outbox=outbox,
         )
         work(context)
-        for _, message in post.messages:
+        for _, message in outbox.messages:
             assert isinstance(message, AdmissionGrant), message
-            self._carry(message.request_id)
+            self._send_to_engine(message.request_id)
 
-    def _carry(self, request_id: str) -> None:
-        message = self._asked.pop(request_id)
+    def _send_to_engine(self, request_id: str) -> None:
+        message = self._ungranted.pop(request_id)
         model = self.load.model
         read_end_s = estimate_read_end_s(self.load, self.now_s)
         self._expected[request_id] = CheckedForecast(read_end_s + model.delay_s, model.samples)
         run = _Run(request_id, message.prompt_tokens, message.output_tokens)
         self.at(self.now_s + self.traits.transit_s, lambda: self.reading.append(run))
 
-    def _turn(self) -> None:
-        """Let the owner look for grants that are due, as its process does."""
+    def _run_grant_turn(self) -> None:
+        """Issue the grants that are due and schedule the next turn, as a router's process does."""
         self._decide(lambda context: grant_due(self.queues, context, self.now_s))
         due_s = find_next_grant_s(self.queues, self.options, self.now_s)
-        wake_s = min(max(due_s, self.now_s + SHORTEST_TURN_S), self.now_s + TICK_S)
-        self.at(wake_s, self._turn)
+        wake_s = min(max(due_s, self.now_s + MIN_TURN_S), self.now_s + TICK_S)
+        self.at(wake_s, self._run_grant_turn)
 
     def _tick(self) -> None:
         self._decide(lambda context: tick_queues(self.queues, context, self.now_s))
@@ -245,17 +245,17 @@
 
     def _end_step(self, done: list[_Run]) -> None:
         for run in list(self.running):
-            run.left_tokens -= 1
-            if run.left_tokens <= 0:
+            run.output_tokens_left -= 1
+            if run.output_tokens_left <= 0:
                 self.running.remove(run)
-                self._tell_end(run)
+                self._report_end(run)
         for run in done:
             self.running.append(run)
-            heard_s = self.now_s + self.traits.first_delay_s + self.traits.transit_s
-            self.at(heard_s, partial(self._tell_begun, run))
+            reported_at_s = self.now_s + self.traits.first_delay_s + self.traits.transit_s
+            self.at(reported_at_s, partial(self._report_begun, run))
         self._step()
 
-    def _tell_begun(self, run: _Run) -> None:
+    def _report_begun(self, run: _Run) -> None:
         forecast = self._expected.pop(run.request_id)
         forecast.begun_s = self.now_s
         self.forecasts.append(forecast)
@@ -264,11 +264,11 @@
             lambda context: handle_admission_progress(self.queues, context, message, self.now_s)
         )
 
-    def _tell_end(self, run: _Run) -> None:
+    def _report_end(self, run: _Run) -> None:
         message = AdmissionRelease(run.request_id, ENGINE, ran=True)
-        heard_s = self.now_s + self.traits.first_delay_s + self.traits.transit_s + 0.001
+        reported_at_s = self.now_s + self.traits.first_delay_s + self.traits.transit_s + 0.001
         self.at(
-            heard_s,
+            reported_at_s,
             lambda: self._decide(
                 lambda context: handle_admission_release(self.queues, context, message, self.now_s)
             ),
@@ -276,7 +276,7 @@
 
 
 def flood(engine: OwnedEngine, mean_tokens: float, waiting: int, until_s: float) -> None:
-    """Keep requests waiting at the owner up to a time; sizes are drawn."""
+    """Keep requests of random sizes waiting at the owner up to a time."""
 
     def refill() -> None:
         while len(engine.load.waiting) < waiting:
@@ -287,8 +287,10 @@
     engine.at(engine.now_s, refill)
 
 
-def arrive(engine: OwnedEngine, mean_tokens: float, rate_per_s: float, until_s: float) -> None:
-    """Let requests arrive at random times up to a time; sizes are drawn."""
+def schedule_arrivals(
+    engine: OwnedEngine, mean_tokens: float, rate_per_s: float, until_s: float
+) -> None:
+    """Schedule requests of random sizes at random times up to a time."""
     time_s = engine.now_s
     while time_s < until_s:
         time_s += engine.random.expovariate(rate_per_s)
@@ -297,5 +299,5 @@
 
 
 def draw_tokens(engine: OwnedEngine, mean_tokens: float) -> int:
-    """Draw a prompt's length: most are short, a few are many times the mean."""
+    """Draw a prompt's length: most are shorter than the mean, a few are many times the mean."""
     return 1 + int(engine.random.lognormvariate(-0.32, 0.8) * mean_tokens)
--- a/tests/standins/pools.py
+++ b/tests/standins/pools.py
@@ -1,4 +1,4 @@
-"""The one pool of a history: its configuration, its requests, and where its servers stand."""
+"""Makes the requests, the zone names and the configuration of the one pool of a history."""
 
 from myrtlehook_core import (
     ColdStart,
@@ -32,9 +32,9 @@
     repeatable: bool,
     fingerprint: bytes = b"",
 ) -> RequestSpecification:
-    """Return a request whose prompt shares a part with its session's others.
+    """Return a request whose prompt shares its first part with its session's other requests.
 
-    :param fingerprint: of caller, path and body; empty for one that is like no other.
+    :param fingerprint: of client, path and body; if empty, a unique one is made from the id.
     """
     parts = (PromptPart(f"s{session}", 500), PromptPart(f"own-{request_id}", tokens))
     return RequestSpecification(
@@ -55,9 +55,9 @@
 
 
 def make_configuration(tokens_per_s: float, cold_start: ColdStart | None = None) -> Configuration:
-    """Return a configuration of one pool.
+    """Return a configuration with one pool.
 
-    :param tokens_per_s: what it says that all engines produce.
+    :param tokens_per_s: the configured throughput of all engines together.
     """
     pool = Pool(
         name=POOL,
--- a/tests/standins/share_histories.py
+++ b/tests/standins/share_histories.py
@@ -1,4 +1,4 @@
-"""Histories in which workspaces ask for more than engines do, and what each of them received."""
+"""Histories in which workspaces ask for more than engines can do, and what each one received."""
 
 import random
 from collections import Counter
@@ -9,122 +9,124 @@
 from standins.pools import make_request
 
 BEGINS_S = 1.5
-"""When callers come: the routers know one another by then."""
+"""When the first requests are sent: by then the routers know one another."""
 
 SPAN_S = 6.0
-"""Over so long the users compare workspaces."""
+"""The period over which users compare what workspaces received."""
 
-RETURN_S = 0.9
-"""When a refused caller comes back, after it has first asked."""
+RETRY_DELAY_S = 0.9
+"""How long after its first attempt a refused client retries."""
 
-AGAIN = "-again"
-"""Added to a request's id when its caller comes back."""
+RETRY_SUFFIX = "-again"
+"""Added to a request's id for its retry."""
 
-FAIR_PART = 0.5
-"""The users' bound: each gets this part of the lesser of what it asks for and what the best
-served one gets."""
+FAIR_FRACTION = 0.5
+"""The bound that users accept: each workspace receives at least this fraction of what it asks
+for, or of what the best served workspace receives, whichever is less."""
 
 OWN_TOKENS = 700
 REQUEST_TOKENS = 500 + OWN_TOKENS + 2 * 30
-"""As shares count a request of a history: its session's part, its own, and its output."""
+"""A request's tokens as shares count them: the shared part, its own part and the output."""
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
-    """What a workspace asked for, and when."""
+class AskedRequest:
+    """A request that a workspace sent."""
 
     workspace: str
     time_s: float
     tokens: int
-    """As shares count them."""
+    """The request's tokens as shares count them."""
 
 
 @dataclass(frozen=True, slots=True)
 class Workload:
-    """What a workspace asks for at random moments."""
+    """The rate and size of the requests that a workspace sends at random moments."""
 
     workspace: str
     rate_tokens_per_s: float
     own_tokens: int
-    """Of the mean prompt, beside the part that its session shares."""
+    """Tokens of the mean prompt, besides the part that its session shares."""
 
 
 @dataclass(frozen=True, slots=True)
-class WorstPart:
-    """What the worst served workspace received, of what was due to it."""
+class WorstShare:
+    """The fraction that the worst served workspace received of what was due to it."""
 
     workspace: str
     begins_s: float
-    part: float
+    fraction: float
 
 
 @dataclass(slots=True)
 class ServedHistory:
-    """A history, and what its workspaces have asked of it."""
+    """A history, and the requests that its workspaces have sent."""
 
     history: History
-    asked: dict[str, Asked] = field(default_factory=dict)
-    """By request."""
-    returns: bool = False
-    """Whether refused callers come back once."""
+    asked: dict[str, AskedRequest] = field(default_factory=dict)
+    """By request id, without retries."""
+    retries: bool = False
+    """Whether requests that were refused or lost with their router are retried once."""
 
-    def flood(self, entry: str, workspace: str, rate_tokens_per_s: float, end_s: float) -> None:
-        """Let a workspace ask at a steady rate through one router."""
+    def flood(self, router: str, workspace: str, rate_tokens_per_s: float, end_s: float) -> None:
+        """Send a workspace's requests to one router at a steady rate."""
         interval_s = REQUEST_TOKENS / rate_tokens_per_s
         for number in range(int((end_s - BEGINS_S) / interval_s)):
             time_s = BEGINS_S + number * interval_s
-            self.ask_at(entry, workspace, number, OWN_TOKENS, time_s)
+            self.ask_at(router, workspace, number, OWN_TOKENS, time_s)
 
     def ask_at(
-        self, entry: str, workspace: str, number: int, own_tokens: int, time_s: float
+        self, router: str, workspace: str, number: int, own_tokens: int, time_s: float
     ) -> None:
-        """Let a workspace ask once; its sessions are its own."""
+        """Send one request of a workspace; workspaces share no sessions."""
         request_id = f"{workspace}{number}"
         session = number % 7 + 7 * ord(workspace[0])
         request = make_request(request_id, workspace, session, own_tokens, time_s, True)
         tokens = request.prompt_tokens + 2 * request.output_tokens
-        self.asked[request_id] = Asked(workspace, time_s, tokens)
-        self.history.at(time_s, lambda: self._ask(entry, request))
-        if self.returns:
-            self.history.at(time_s + RETURN_S, lambda: self._ask_again(entry, request))
+        self.asked[request_id] = AskedRequest(workspace, time_s, tokens)
+        self.history.at(time_s, lambda: self._send(router, request))
+        if self.retries:
+            self.history.at(time_s + RETRY_DELAY_S, lambda: self._retry(router, request))
 
-    def _ask(self, entry: str, request: RequestSpecification) -> None:
-        """Ask a router; while it is without power the balancer takes another one."""
+    def _send(self, router: str, request: RequestSpecification) -> None:
+        """Send a request to a router, or to a random one that is alive if that router is down."""
         alive = self.history.alive
-        self.history.ask(entry if entry in alive else self.history.random.choice([*alive]), request)
+        self.history.ask(
+            router if router in alive else self.history.random.choice([*alive]), request
+        )
 
-    def _ask_again(self, entry: str, request: RequestSpecification) -> None:
-        """Let a caller come back that was refused or lost its router."""
+    def _retry(self, router: str, request: RequestSpecification) -> None:
+        """Retry a request that was refused or whose router was killed."""
         outcome = self.history.outcomes[request.request_id]
         if outcome.ended_at_s is not None or outcome.running:
             return
         again = replace(
             request,
-            request_id=request.request_id + AGAIN,
+            request_id=request.request_id + RETRY_SUFFIX,
             arrived_at_s=self.history.now_s,
-            aim_deadline_s=request.aim_deadline_s + RETURN_S,
+            aim_deadline_s=request.aim_deadline_s + RETRY_DELAY_S,
         )
-        self._ask(entry, again)
+        self._send(router, again)
 
     def ask_at_random(
-        self, workload: Workload, entries: list[str], draw: random.Random, end_s: float
+        self, workload: Workload, routers: list[str], draw: random.Random, end_s: float
     ) -> None:
-        """Let a workspace ask at random moments for prompts of random sizes.
+        """Send a workspace's prompts of random sizes at random moments.
 
-        :param entries: the routers that its callers reach.
+        :param routers: the routers that its clients reach.
         """
         time_s = BEGINS_S
         number = 0
         while time_s < end_s:
             own_tokens = round(workload.own_tokens * draw.uniform(0.3, 1.7))
-            entry = draw.choice(entries)
-            self.ask_at(entry, workload.workspace, number, own_tokens, time_s)
+            router = draw.choice(routers)
+            self.ask_at(router, workload.workspace, number, own_tokens, time_s)
             tokens = own_tokens + REQUEST_TOKENS - OWN_TOKENS
             time_s += draw.expovariate(workload.rate_tokens_per_s / tokens)
             number += 1
 
     def count(self, begins_s: float) -> tuple[Counter[str], Counter[str]]:
-        """Return the tokens asked and begun by workspace over the users' span."""
+        """Return the tokens asked for and begun in ``SPAN_S`` from a time on, by workspace."""
         asked: Counter[str] = Counter()
         begun: Counter[str] = Counter()
         for request_id, item in self.asked.items():
@@ -136,8 +138,8 @@
                 begun[item.workspace] += item.tokens
         return asked, begun
 
-    def find_refused(self, begins_s: float) -> set[str]:
-        """Return the workspaces that were refused something in each second of the users' span."""
+    def find_refused_workspaces(self, begins_s: float) -> set[str]:
+        """Return the workspaces that had a request refused in each second of a span."""
         refused: set[tuple[str, int]] = set()
         for request_id, item in self.asked.items():
             was_refused = bool(self.history.outcomes[request_id].refused_at_s)
@@ -149,30 +151,30 @@
     def _find_end_s(self, request_id: str) -> float | None:
         outcomes = self.history.outcomes
         ended_at_s = outcomes[request_id].ended_at_s
-        again = outcomes.get(request_id + AGAIN)
+        again = outcomes.get(request_id + RETRY_SUFFIX)
         return again.ended_at_s if again is not None and ended_at_s is None else ended_at_s
 
 
-def find_worst_part(served: ServedHistory, begins_s: float, ends_s: float) -> WorstPart:
-    """Return the least that a workspace received in any span, of what was due to it.
+def find_worst_share(served: ServedHistory, begins_s: float, ends_s: float) -> WorstShare:
+    """Return the least fraction of its due that a workspace received in any span.
 
-    Due is the lesser of what it asked for and what the best served one received. A workspace
-    counts in spans in each second of which it was refused something.
+    Due is what the workspace asked for or what the best served one received, whichever is less.
+    A span counts for the workspaces that had a request refused in each of its seconds.
     """
-    worst = WorstPart("", begins_s, 1.0)
+    worst = WorstShare("", begins_s, 1.0)
     first_s = begins_s
     while first_s + SPAN_S <= ends_s:
         asked, begun = served.count(first_s)
         best = max(begun.values())
-        for name in served.find_refused(first_s):
-            part = begun[name] / min(asked[name], best)
-            if part < worst.part:
-                worst = WorstPart(name, first_s, part)
+        for name in served.find_refused_workspaces(first_s):
+            fraction = begun[name] / min(asked[name], best)
+            if fraction < worst.fraction:
+                worst = WorstShare(name, first_s, fraction)
         first_s += 0.5
     return worst
 
 
-def find_unfair(asked: Counter[str], begun: Counter[str]) -> list[str]:
-    """Return the workspaces that received less than the users' bound."""
+def find_underserved_workspaces(asked: Counter[str], begun: Counter[str]) -> list[str]:
+    """Return the workspaces that received less than the bound that users accept."""
     best = max(begun.values())
-    return [name for name in asked if begun[name] < FAIR_PART * min(asked[name], best)]
+    return [name for name in asked if begun[name] < FAIR_FRACTION * min(asked[name], best)]
--- a/tests/steps/accountant_steps.py
+++ b/tests/steps/accountant_steps.py
@@ -1,4 +1,4 @@
-"""Steps of a pool's accountant: its sums against the reports that it heard."""
+"""Steps that compare an accountant's sums with the demand reports that it received."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -20,53 +20,58 @@
 from myrtlehook_core.process.admission_messages import DemandReport, DemandRow
 
 REPORT_STEP_S = 0.15
-"""Some reports of a history are then older than their lease at its end."""
+"""With this interval, some reports are older than their lease at the end of a history."""
 
 
-@then("for any reports of any routers, the level is the one of the last reports together")
+@then(
+    "for any reports of any routers, the level is the one computed from each router's last report"
+)
 def check_sums(context: Any) -> None:
     tokens = st.integers(0, 5000)
     row = st.builds(DemandRow, st.sampled_from(["a", "b", "c", "d"]), tokens, tokens, tokens)
     reports = st.lists(st.tuples(st.sampled_from(["r1", "r2", "r3"]), st.lists(row, max_size=4)))
 
     @given(reports, st.integers(1, 20_000))
-    def check(heard: list[tuple[str, list[DemandRow]]], capacity: int) -> None:
+    def check(received: list[tuple[str, list[DemandRow]]], capacity: int) -> None:
         accounts: dict[str, PoolAccount] = {}
         now_s = 0.0
-        for router, rows in heard:
+        for router, rows in received:
             now_s += REPORT_STEP_S
             record_demand_report(accounts, router, DemandReport("p", tuple(rows)), capacity, now_s)
-        # Any later report brings the level up to date.
+        # Any later report updates the level.
         now_s += REPORT_STEP_S
-        told = record_demand_report(accounts, "r9", DemandReport("p", ()), capacity, now_s)
-        sums = _sum_last(heard, now_s)
+        level_message = record_demand_report(accounts, "r9", DemandReport("p", ()), capacity, now_s)
+        sums = _sum_last(received, now_s)
         asked = [row.asked_tokens for row in sums]
-        level = compute_level(asked, compute_shared_tokens(account_of(sums), float(capacity)))
-        assert told.level_tokens == (UNLIMITED if level is None else round(level)), (told, sums)
-        assert {*told.rows} == {
+        level = compute_level(asked, compute_shared_tokens(make_account(sums), float(capacity)))
+        assert level_message.level_tokens == (UNLIMITED if level is None else round(level)), (
+            level_message,
+            sums,
+        )
+        assert {*level_message.rows} == {
             row for row in sums if level is not None and row.asked_tokens > level
-        }, (told, sums)
+        }, (level_message, sums)
 
     check()
 
 
-def account_of(rows: Iterable[DemandRow]) -> PoolAccount:
-    """Return the account of one router that has reported all of this."""
+def make_account(rows: Iterable[DemandRow]) -> PoolAccount:
+    """Return an account with all rows in the report of one router."""
     account = PoolAccount()
     replace_report(account, "r", tuple(rows), 0.0)
     return account
 
 
-def _sum_last(heard: list[tuple[str, list[DemandRow]]], now_s: float) -> list[DemandRow]:
-    """Add up the last report of each router that is not too old."""
+def _sum_last(received: list[tuple[str, list[DemandRow]]], now_s: float) -> list[DemandRow]:
+    """Sum the last report of each router, without those older than their lease."""
     last: dict[str, tuple[float, list[DemandRow]]] = {}
-    for number, (router, rows) in enumerate(heard, start=1):
+    for number, (router, rows) in enumerate(received, start=1):
         last[router] = (number * REPORT_STEP_S, rows)
     asked: Counter[str] = Counter()
     refused: Counter[str] = Counter()
     granted: Counter[str] = Counter()
-    for heard_at_s, rows in last.values():
-        if now_s < heard_at_s + REPORT_LEASE_S:
+    for received_at_s, rows in last.values():
+        if now_s < received_at_s + REPORT_LEASE_S:
             for row in rows:
                 asked[row.workspace] += row.asked_tokens
                 refused[row.workspace] += row.refused_tokens
--- a/tests/steps/admission_steps.py
+++ b/tests/steps/admission_steps.py
@@ -1,4 +1,4 @@
-"""Properties of admission to model engines, shares, prompt caches and routes."""
+"""Properties of admission to model engines, shares, prompt caches, routes and discovery."""
 
 import math
 import random
@@ -41,23 +41,25 @@
 
 OPTIONS = CoreOptions()
 SLACK_S = 0.1
-"""A tick and the messages of one decision."""
+"""Time for a tick and the messages of one decision."""
 
-HISTORIES = 25
-LONGEST_REQUEST_TOKENS = 3000
-MOST_AHEAD_TOKENS = 4000
-"""What an engine may be given ahead, beside the longest prompt."""
+HISTORY_EXAMPLES = 25
+MAX_REQUEST_TOKENS = 3000
+MAX_AHEAD_TOKENS = 4000
+"""The most unread tokens that an engine may hold, besides the longest prompt."""
 
 
-def _play(seed: int, network: Network, disturb: bool, early: list[int] | None = None) -> History:
-    """Play four seconds of requests at three routers, with some trouble in the middle.
+def _run_history(
+    seed: int, network: Network, disturb: bool, early: list[int] | None = None
+) -> History:
+    """Run four seconds of requests at three routers, optionally with faults in the middle.
 
-    :param early: takes what engines had most unread in the first second, while they were
-        not known; it is left out of the history's own figures then.
+    :param early: receives the engines' peaks of unread tokens in the first second, before their
+        owners have learned them; the history's own peaks then leave that second out.
     """
     history = History(seed, routers=3, engines=2, network=network, options=OPTIONS)
     draw = random.Random(seed)
-    entries = list(history.alive)
+    routers = list(history.alive)
     history.run_until(1.5)
     for number in range(120):
         time_s = 1.5 + draw.random() * 4.0
@@ -65,16 +67,16 @@
             request_id=f"q{number}",
             workspace=draw.choice("abc"),
             session=draw.randrange(6),
-            tokens=draw.randrange(50, LONGEST_REQUEST_TOKENS),
+            tokens=draw.randrange(50, MAX_REQUEST_TOKENS),
             now_s=time_s,
             repeatable=draw.random() < 0.5,
         )
-        entry = draw.choice(entries)
-        history.at(time_s, lambda entry=entry, request=request: history.ask(entry, request))
+        router = draw.choice(routers)
+        history.at(time_s, lambda router=router, request=request: history.ask(router, request))
     if early is not None:
-        history.at(2.5, lambda: _set_apart(history, early))
+        history.at(2.5, lambda: _move_peaks(history, early))
     if disturb:
-        victim = draw.choice(entries)
+        victim = draw.choice(routers)
         killed_s = 2.0 + draw.random() * 2.0
         history.at(killed_s, lambda: history.kill_router(victim))
         history.at(killed_s + 0.7, lambda: history.start_router(victim))
@@ -84,7 +86,7 @@
     return history
 
 
-def _set_apart(history: History, early: list[int]) -> None:
+def _move_peaks(history: History, early: list[int]) -> None:
     early.extend(history.most_unread_tokens.values())
     history.most_unread_tokens.clear()
 
@@ -100,27 +102,29 @@
             assert refused_s <= outcome.deadline_s + SLACK_S, (request_id, outcome)
 
 
-@then("for any requests on a sound network, each has one end, and engines are not overfilled")
+@then("for any requests on a sound network, each has one outcome, and engines are not overfilled")
 def check_calm(context: Any) -> None:
-    @settings(max_examples=HISTORIES)
+    @settings(max_examples=HISTORY_EXAMPLES)
     @given(st.integers(0, 1 << 30))
     def check(seed: int) -> None:
         early: list[int] = []
-        history = _play(seed, Network(), disturb=False, early=early)
+        history = _run_history(seed, Network(), disturb=False, early=early)
         _check_outcomes(history, killed_may_vanish=False)
         for most in history.most_unread_tokens.values():
-            assert most <= MOST_AHEAD_TOKENS + LONGEST_REQUEST_TOKENS + 500, most
-        assert max(early) <= MOST_AHEAD_TOKENS + 2 * (LONGEST_REQUEST_TOKENS + 500), early
+            assert most <= MAX_AHEAD_TOKENS + MAX_REQUEST_TOKENS + 500, most
+        assert max(early) <= MAX_AHEAD_TOKENS + 2 * (MAX_REQUEST_TOKENS + 500), early
 
     check()
 
 
-@then("for any loss, doubling, kill and broken engine, no request has two ends or waits for ever")
+@then(
+    "for any loss, doubling, kill and broken engine, no request has two outcomes or waits forever"
+)
 def check_troubled(context: Any) -> None:
-    @settings(max_examples=HISTORIES)
+    @settings(max_examples=HISTORY_EXAMPLES)
     @given(st.integers(0, 1 << 30), st.floats(0.0, 0.3), st.floats(0.0, 0.3))
     def check(seed: int, lost: float, doubled: float) -> None:
-        history = _play(seed, Network(lost, doubled, 0.02), disturb=True)
+        history = _run_history(seed, Network(lost, doubled, 0.02), disturb=True)
         _check_outcomes(history, killed_may_vanish=True)
         for name, core in history.alive.items():
             assert not core.admissions.open, (name, core.admissions.open)
@@ -131,7 +135,7 @@
     check()
 
 
-@then("for any demands, the level gives everything away and nobody more than they ask")
+@then("for any demands, the level gives away all capacity and no workspace more than it asks for")
 def check_level(context: Any) -> None:
     @given(st.lists(st.integers(0, 100_000), min_size=1, max_size=20), st.integers(1, 500_000))
     def check(demands: list[int], capacity: int) -> None:
@@ -151,13 +155,13 @@
     def check(sizes: list[int], over: int) -> None:
         shares = Shares()
         total = sum(sizes)
-        # Engines take just what is configured.
+        # Engines serve exactly what is configured.
         report = DemandReport("p", (DemandRow("w", total, 0, math.ceil(total / over)),))
         apply_level(shares, record_demand_report({}, "r", report, total / over, 0.0), 0.0)
         held: Counter[int] = Counter()
         for size in sizes:
             held[record_asked(shares, "p", "w", size, 0.1)] += size
-        # A level is whole tokens, so that the last tier may spill over by a little.
+        # A level is a whole number of tokens, so a few may spill over into one more tier.
         assert set(held) <= set(range(over + 1)), held
         for tier in range(over - 1):
             assert abs(held[tier] - total / over) <= 2 * max(sizes), (held, total / over)
@@ -165,19 +169,19 @@
     check()
 
 
-@then("two workspaces that flood one engine unevenly receive alike")
+@then("two workspaces that flood one engine unevenly receive similar amounts")
 def check_even(context: Any) -> None:
     history = History(1, routers=3, engines=1, network=Network(), options=OPTIONS)
     history.run_until(1.5)
-    entries = list(history.alive)
+    routers = list(history.alive)
     draw = random.Random(1)
-    # One asks for three times as much as the other, and both for more than there is.
+    # "a" asks for three times as much as "b", and both for more than the engine can do.
     for number in range(1600):
         time_s = 1.5 + number * 0.005
         workspace = "a" if number % 4 else "b"
         request = make_request(f"q{number}", workspace, number % 6, 700, time_s, True)
-        entry = entries[0] if workspace == "a" else draw.choice(entries)
-        history.at(time_s, lambda entry=entry, request=request: history.ask(entry, request))
+        router = routers[0] if workspace == "a" else draw.choice(routers)
+        history.at(time_s, lambda router=router, request=request: history.ask(router, request))
     history.run_until(14.0)
     served: Counter[str] = Counter()
     for request_id, outcome in history.outcomes.items():
@@ -191,13 +195,13 @@
 def check_small(context: Any) -> None:
     history = History(2, routers=3, engines=2, network=Network(), options=OPTIONS)
     history.run_until(1.5)
-    entries = list(history.alive)
+    routers = list(history.alive)
     for number in range(2000):
         time_s = 1.5 + number * 0.004
         workspace = "a" if number % 20 else "b"
         request = make_request(f"q{number}", workspace, number % 7, 700, time_s, True)
-        entry = entries[number % len(entries)]
-        history.at(time_s, lambda entry=entry, request=request: history.ask(entry, request))
+        router = routers[number % len(routers)]
+        history.at(time_s, lambda router=router, request=request: history.ask(router, request))
     history.run_until(16.0)
     first = round(OPTIONS.quota_window_s / 0.004)
     numbers = {int(request_id[1:]): outcome for request_id, outcome in history.outcomes.items()}
@@ -298,8 +302,8 @@
     assert not discovery.known
 
 
-@then("an engine that failed three times is trusted again once an answer begins")
-def check_trust(context: Any) -> None:
+@then("an engine that failed three times is used again once an answer begins")
+def check_restored(context: Any) -> None:
     options = CoreOptions(adopt_delay_s=0.0)
     history = History(1, routers=1, engines=1, network=Network(), options=options)
     history.run_until(1.5)
@@ -308,13 +312,13 @@
     for _ in range(FAILURES_TO_EJECT):
         record_outcome(load.health, True, history.now_s)
     history.run_until(history.now_s + MAX_EJECTION_S)
-    entry = next(iter(history.alive))
+    router = next(iter(history.alive))
     first = make_request("first", "a", 1, 300, history.now_s, True)
-    history.ask(entry, first)
+    history.ask(router, first)
     history.run_until(history.now_s + 0.05)
-    # The first answer has begun by now, and has not ended.
+    # The first answer has begun by now, but has not ended.
     second = make_request("second", "a", 1, 300, history.now_s, True)
-    history.ask(entry, second)
+    history.ask(router, second)
     history.run_until(history.now_s + 1.0)
     assert history.outcomes["first"].ended_at_s is not None
     assert history.outcomes["second"].ended_at_s is not None, history.outcomes["second"]
--- a/tests/steps/cold_engine_steps.py
+++ b/tests/steps/cold_engine_steps.py
@@ -1,4 +1,4 @@
-"""Steps of engines that come back cold under a flood, in histories of decision cores."""
+"""Steps of engines that come back cold under a flood, in simulated histories."""
 
 import itertools
 from bisect import bisect_left, bisect_right
@@ -20,12 +20,12 @@
 
 OPTIONS = CoreOptions(cold_overshoot=1.5, cold_tolerance_requests=5.0, keeps_shares=False)
 BOUND = 19
-"""1.5 times 10 requests a second and 5 more are 20; one less is what is held here."""
+"""The limit is 20: 1.5 times 10 requests a second, and 5 more. The check is stricter by one."""
 
 COLD_S = 3.0
 ASKED_PER_S = 360
 TOKENS = 600
-"""With these, an engine of these histories begins 50 requests a second."""
+"""At this prompt size, an engine of these histories begins 50 requests a second."""
 
 LAST_S = 9.5
 NEW_ENGINE = "e9"
@@ -73,12 +73,12 @@
 
 
 @when("an engine says that it is cold for {cold_s:g} s at {at_s:g} s")
-def tell_cold(context: Any, cold_s: float, at_s: float) -> None:
+def report_cold(context: Any, cold_s: float, at_s: float) -> None:
     history: History = context.history
-    told = replace(history.servers[0], cold_ms=int(cold_s * 1000))
-    # What it was granted before arrives a moment later.
-    history.at(at_s - 0.05, lambda: history.publish((told, *history.servers[1:])))
-    context.engine, context.back_s = told.name, at_s
+    cold_server = replace(history.servers[0], cold_ms=int(cold_s * 1000))
+    # Requests that were granted before reach the engine a moment later.
+    history.at(at_s - 0.05, lambda: history.publish((cold_server, *history.servers[1:])))
+    context.engine, context.back_s = cold_server.name, at_s
 
 
 @when("an engine's zone is taken back at {at_s:g} s")
@@ -146,13 +146,13 @@
     context.history.run_until(LAST_S)
     sent = _list_sent(context, context.engine, context.back_s, context.back_s + seconds)
     assert sent, "it got nothing"
-    assert _find_most(sent) <= min(most, BOUND), (_find_most(sent), most)
+    assert _count_busiest_second(sent) <= min(most, BOUND), (_count_busiest_second(sent), most)
 
 
 @then("it gets at least {least:d} in each of them")
 def check_used(context: Any, least: int) -> None:
     start_s = context.back_s
-    # A second to be noticed.
+    # The first second is left for routers to notice that the engine is back.
     for second in range(1, int(COLD_S)):
         sent = _list_sent(context, context.engine, start_s + second, start_s + second + 1.0)
         assert len(sent) >= least, (second, len(sent))
@@ -162,7 +162,7 @@
 def check_warm(context: Any, most: int) -> None:
     context.history.run_until(LAST_S)
     sent = _list_sent(context, context.engine, context.back_s + COLD_S, LAST_S)
-    assert _find_most(sent) > most, _find_most(sent)
+    assert _count_busiest_second(sent) > most, _count_busiest_second(sent)
 
 
 def _list_sent(context: Any, engine: str, start_s: float, end_s: float) -> list[float]:
@@ -170,8 +170,8 @@
     return [at_s for _, name, at_s in dispatches if name == engine and start_s <= at_s < end_s]
 
 
-def _find_most(times_s: list[float]) -> int:
-    """Return the most that fall into one second."""
+def _count_busiest_second(times_s: list[float]) -> int:
+    """Return the largest number of times that fall into one second."""
     times_s = sorted(times_s)
     return max(
         (bisect_left(times_s, at_s + 1.0) - bisect_left(times_s, at_s) for at_s in times_s),
@@ -180,8 +180,8 @@
 
 
 def find_most_sent(context: Any, engine: str, start_s: float, end_s: float) -> int:
-    """Return the most requests that were sent to an engine within one second."""
-    return _find_most(_list_sent(context, engine, start_s, end_s))
+    """Return the largest number of requests that an engine was sent within one second."""
+    return _count_busiest_second(_list_sent(context, engine, start_s, end_s))
 
 
 @before("what two owners grant at one engine of {rate:d} requests a second, {overshoot:g} times "
@@ -199,13 +199,15 @@
     context.worst = 0
     for first_s, second_s, end_s in itertools.product(starts_s, starts_s, ends_s):
         first = _list_grants(context.make_pace(), first_s, end_s)
-        # Whoever takes over later begins anew.
+        # An owner that takes over later starts with a new pace.
         second = _list_grants(context.make_pace(), second_s, COLD_S)
-        context.worst = max(context.worst, _find_most_late([*first, *second], late_s))
+        context.worst = max(
+            context.worst, _count_busiest_second_with_delay([*first, *second], late_s)
+        )
 
 
 def _list_grants(pace: ColdPace, start_s: float, end_s: float) -> list[float]:
-    """Return when an owner grants that always has something to grant."""
+    """Return the times of an owner's grants if requests are always waiting."""
     pace.cold_until_s = end_s
     granted_s = []
     now_s = start_s
@@ -217,10 +219,10 @@
     return granted_s
 
 
-def _find_most_late(times_s: list[float], late_s: float) -> int:
-    """Return the most that may reach the engine within one second.
+def _count_busiest_second_with_delay(times_s: list[float], late_s: float) -> int:
+    """Return the largest number of grants that may reach the engine within one second.
 
-    The worst case: those at the start of a span come late, the others at once.
+    In the worst case, grants made shortly before the second arrive late and the others at once.
     """
     times_s.sort()
     return max(
--- a/tests/steps/engine_model_steps.py
+++ b/tests/steps/engine_model_steps.py
@@ -1,4 +1,4 @@
-"""Properties of what an owner learns of its engines, over an engine in simulated time."""
+"""Properties of the model that an owner learns of an engine, checked in simulated time."""
 
 from dataclasses import replace
 from statistics import median
@@ -15,12 +15,12 @@
 from myrtlehook_core.process.engine_models import make_estimate
 from myrtlehook_core.process.engine_queues import handle_held_admissions, set_owned_engines
 from myrtlehook_core.process.outboxes import MessageOutbox
-from standins.engine_models import ENGINE, ROUTER, OwnedEngine, Traits, arrive, flood
+from standins.engine_models import ENGINE, ROUTER, OwnedEngine, Traits, flood, schedule_arrivals
 
 EXAMPLES = 20
 SLOW_EXAMPLES = 10
 LEARNING_S = 1.0
-"""Flooded engines are given this long first; slow ones longer."""
+"""The minimum time for which an engine is flooded before a check; slow ones get longer."""
 
 AIM_S = 0.6
 
@@ -47,26 +47,26 @@
     first_delay_s=0.0951674495616314,
     transit_s=0.0028604137464439054,
 )
-"""Engines whose delay, while they were slow, was believed far too short: when they turned
-faster, a second later still 0.61 and 0.22 of their rate were believed."""
+"""Engines whose delay was estimated far too short while they were slow: a second after they
+became faster, their rate was still estimated at 0.61 and 0.22 of its real value."""
 
-SHOWN = {
+PINNED_EXAMPLES = {
     0.2: (
         (LATE_BEGINNER, 58_928, 2_299.1382056773346),
         (SLOW_LATE_BEGINNER, 1_388_486, 200.0),
     )
 }
-"""By factor of the change: engines that have shown a fault, played each time."""
+"""Examples that have failed before and run every time, by the factor of the change."""
 
 
 def _pace(traits: Traits) -> float:
-    """Return how many tokens a second an engine reads at most, its steps included."""
+    """Return the most tokens that an engine reads a second, including the fixed time of steps."""
     step_s = traits.step_s + traits.chunk_tokens / traits.read_tokens_per_s
     return traits.chunk_tokens / step_s
 
 
 def _learned(traits: Traits, seed: int, mean_tokens: float) -> OwnedEngine:
-    """Return an engine that has been flooded until it is known."""
+    """Return an engine that has been flooded until its owner has learned its model."""
     engine = OwnedEngine(traits, seed=seed)
     learning_s = max(LEARNING_S, 40.0 * mean_tokens / _pace(traits))
     flood(engine, mean_tokens, 8, until_s=4.0 * learning_s)
@@ -114,7 +114,7 @@
         engine = OwnedEngine(traits, seed=seed)
         rate_per_s = busy * _pace(traits) / mean_tokens
         end_s = max(150.0 / rate_per_s, LEARNING_S)
-        arrive(engine, mean_tokens, rate_per_s, until_s=end_s)
+        schedule_arrivals(engine, mean_tokens, rate_per_s, until_s=end_s)
         engine.run_until(end_s)
         error_s = engine.median_forecast_error_s(learned=20)
         assert error_s < 0.15 * AIM_S, (error_s, engine.load.model)
@@ -145,23 +145,23 @@
         later = (median(rate for rate, _ in settled), median(window for _, window in settled))
         context.cases.append((traits, early, later, engine.busy_part()))
 
-    for shown in SHOWN.get(factor, ()):
-        play = example(*shown)(play)
+    for values in PINNED_EXAMPLES.get(factor, ()):
+        play = example(*values)(play)
     play()
 
 
 def describe_window(engine: OwnedEngine) -> tuple[float, float]:
-    """Return the rate that an engine is believed to have, and its window."""
+    """Return an engine's estimated rate and its window."""
     return engine.load.model.rate_tokens_per_s, engine.window_tokens
 
 
-@then("a second later, or 12 steps with answers, its rate and window are what they stay")
+@then("a second later, or 12 steps with answers, its estimated rate and window have settled")
 def check_window(context: Any) -> None:
     for traits, (rate, window), (later_rate, later_window), busy in context.cases:
         assert 0.7 <= rate / later_rate <= 1.4, (traits, rate, later_rate)
-        # The window holds the delay as well, which one step of a slow engine moves.
+        # The window also depends on the delay, which a single step of a slow engine changes.
         assert 1.0 / 3.0 <= window / later_window <= 3.0, (traits, window, later_window)
-        # Steps of a quarter of a second, as some have then, are longer than the window.
+        # Some engines then have steps of a quarter of a second, which is longer than the window.
         assert busy >= 0.9, (traits, busy)
 
 
@@ -172,21 +172,21 @@
     usual_s = engine.traits.step_s
     start_s = engine.now_s
 
-    def strike() -> None:
+    def start_delay() -> None:
         engine.traits.step_s = held
-        engine.at(engine.now_s + held / 2.0, recover)
+        engine.at(engine.now_s + held / 2.0, end_delay)
 
-    def recover() -> None:
+    def end_delay() -> None:
         engine.traits.step_s = usual_s
 
     flood(engine, 1_500.0, 8, until_s=start_s + 40.0)
     for number in range(1, 7):
-        engine.at(start_s + number * every, strike)
+        engine.at(start_s + number * every, start_delay)
     engine.run_until(start_s + 7.0 * every)
     context.engine = engine
 
 
-@then("its rate is believed to be within {part:g} of what it was")
+@then("its estimated rate stays within {part:g} of what it was")
 def check_rate(context: Any, part: float) -> None:
     now = context.engine.load.model.rate_tokens_per_s
     assert abs(now - context.before) <= part * context.before, (now, context.before)
@@ -211,10 +211,10 @@
     context.estimate = estimate
 
 
-@then("its new owner believes what the last one did, and for how long it has")
+@then("its new owner has the last one's estimate, with the same age")
 def check_handover(context: Any) -> None:
-    believed = make_estimate(context.new.load.model, context.new.now_s)
-    assert believed == context.estimate, (believed, context.estimate)
+    estimate = make_estimate(context.new.load.model, context.new.now_s)
+    assert estimate == context.estimate, (estimate, context.estimate)
 
 
 @when("an engine joins the pool of one that is known")
@@ -227,7 +227,7 @@
     set_owned_engines(old.queues, {ENGINE, "e1"}, configuration, old.now_s)
 
 
-@then("it is expected to be like that one")
+@then("its first estimate is that of the known one")
 def check_like(context: Any) -> None:
     known = make_estimate(context.old.load.model, context.old.now_s)
     new = context.old.queues.loads["e1"].model
--- a/tests/steps/memory_source_steps.py
+++ b/tests/steps/memory_source_steps.py
@@ -1,4 +1,4 @@
-"""Properties of prompts that engines take from one another, and of the longest ones."""
+"""Properties of prompts whose beginning is fetched from another engine, and of long prompts."""
 
 from collections import OrderedDict
 from dataclasses import replace
@@ -13,27 +13,27 @@
 
 OWN_TOKENS = 700
 SESSION_TOKENS = 500
-"""As requests of histories have it."""
+"""The shared part of a session's prompts, as ``make_request`` makes it."""
 
 
-def _crowd(options: CoreOptions, count: int) -> History:
-    """Play one session's requests that come at once, after one that fills the home's cache."""
+def _run_burst(options: CoreOptions, count: int) -> History:
+    """Send requests of one session at once, after one that fills the home engine's cache."""
     history = History(5, routers=3, engines=3, network=Network(), options=options)
     history.run_until(1.5)
-    entry = next(iter(history.alive))
+    router = next(iter(history.alive))
     first = make_request("first", "a", 0, OWN_TOKENS, 1.5, True)
-    history.at(1.5, lambda: history.ask(entry, first))
+    history.at(1.5, lambda: history.ask(router, first))
     for number in range(count):
         request = make_request(f"q{number}", "abc"[number % 3], 0, OWN_TOKENS, 2.5, True)
-        history.at(2.5, lambda request=request: history.ask(entry, request))
+        history.at(2.5, lambda request=request: history.ask(router, request))
     history.run_until(8.0)
     return history
 
 
 @when("{count:d} requests of one session come at once to engines that read 30 tokens a ms")
-def crowd(context: Any, count: int) -> None:
+def send_burst(context: Any, count: int) -> None:
     context.count = count
-    context.history = _crowd(CoreOptions(), count)
+    context.history = _run_burst(CoreOptions(), count)
     context.home = context.history.outcomes["first"].dispatched[0]
 
 
@@ -53,9 +53,9 @@
     assert elsewhere >= 5, elsewhere
 
 
-@then("without the option nobody names a source, and other engines read the session's part")
+@then("without the option no request names a source, and other engines read the session's part")
 def check_without(context: Any) -> None:
-    history = _crowd(replace(CoreOptions(), fetches_memory=False), context.count)
+    history = _run_burst(replace(CoreOptions(), fetches_memory=False), context.count)
     outcomes = history.outcomes.values()
     assert not any(source for outcome in outcomes for source in outcome.memory_sources)
     read = [
@@ -93,9 +93,9 @@
 def ask_long(context: Any, tokens: int) -> None:
     context.history = History(6, routers=3, engines=3, network=Network(), options=CoreOptions())
     context.history.run_until(1.5)
-    entry = next(iter(context.history.alive))
+    router = next(iter(context.history.alive))
     request = make_request("long", "a", 0, tokens - SESSION_TOKENS, 1.5, True)
-    context.history.at(1.5, lambda: context.history.ask(entry, request))
+    context.history.at(1.5, lambda: context.history.ask(router, request))
     context.history.run_until(6.0)
 
 
--- a/tests/steps/overload_steps.py
+++ b/tests/steps/overload_steps.py
@@ -1,4 +1,4 @@
-"""Steps of overloaded routers' refusals: what their logs tell, and when callers return."""
+"""Steps of overloaded routers' refusals: what is logged, and when clients retry."""
 
 import http.client
 import json
@@ -76,8 +76,8 @@
     assert len(whole) == len(context.lines) == count, (len(whole), len(context.lines))
 
 
-@then("the losses tell of a log that lacks {count:d} lines")
-def check_lacking(context: Any, count: int) -> None:
+@then("the loss report names a log that dropped {count:d} lines")
+def check_dropped_lines(context: Any, count: int) -> None:
     report = report_losses([context.lines])
     assert report.dropped_lines == {"vm-1": count}, report.dropped_lines
 
@@ -94,7 +94,7 @@
     )
 
 
-@then("at most {count:d} lines tell of them")
+@then("at most {count:d} lines are logged for them")
 def check_few_lines(context: Any, count: int) -> None:
     assert len(context.lines) <= count, len(context.lines)
 
@@ -107,7 +107,7 @@
     assert by_workspace == {"large": count - 10, "small": 10}, by_workspace
 
 
-@then("the story of a request that a sum names tells of that sum")
+@then("the story of a request that a sum names contains that sum")
 def check_story(context: Any) -> None:
     story = tell_story("large-20", [context.lines])
     assert [line.event for line in story] == ["requests refused"], story
@@ -144,11 +144,13 @@
 
     def agree() -> bool:
         rows = run_losses(context)["tables"]["reason"]
-        context.told = sum(row["requests"] for row in rows if row["reason"] == "unauthenticated")
-        return abs(context.told - counted) <= 0.01 * counted
+        context.reported = sum(
+            row["requests"] for row in rows if row["reason"] == "unauthenticated"
+        )
+        return abs(context.reported - counted) <= 0.01 * counted
 
     assert counted >= 100, counted
-    wait_for(agree, f"the losses to tell {counted} refusals")
+    wait_for(agree, f"the loss report to count {counted} refusals")
     lines = node(context, router).log_path.read_text().splitlines()
     summed = [line for line in lines if json.loads(line)["event"] == "requests refused"]
     assert summed, "no sums were needed"
@@ -161,7 +163,7 @@
     context.waits_s = [schedule_retry(shedding, 0.0, left_s, draw) for _ in range(callers)]
 
 
-@then("each is told to wait between {least_s:g} and {most_s:g} s")
+@then("each is asked to wait between {least_s:g} and {most_s:g} s")
 def check_waits(context: Any, least_s: float, most_s: float) -> None:
     assert all(least_s <= wait_s <= most_s for wait_s in context.waits_s), context.waits_s
 
--- a/tests/steps/share_account_steps.py
+++ b/tests/steps/share_account_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the accounts of shares that the operator's tool makes from logs."""
+"""Steps of the share accounts that the operator's tool computes from logs."""
 
 import json
 from datetime import UTC, datetime
@@ -16,7 +16,7 @@
 
 
 def _end_line(at_s: float, workspace: str, reason: str = "") -> str:
-    """Return the last line of a request that came at a time; refused if a reason is given."""
+    """Return the log line of a request's end; with a reason, the request was refused."""
     ended_at = datetime.fromtimestamp(BEGINS_S + at_s + ELAPSED_MS / 1000.0, UTC)
     content = {
         "event": "request ended",
@@ -63,6 +63,8 @@
     assert account.refused_tokens == reasons, account
 
 
-@then('the tool tells no share of "{workspace}", which was refused nothing in one of these seconds')
+@then(
+    'the tool reports no share of "{workspace}", which was refused nothing in one of these seconds'
+)
 def check_calm(context: Any, workspace: str) -> None:
     assert workspace not in {account.workspace for account in context.shares}, context.shares
--- a/tests/steps/share_mix_steps.py
+++ b/tests/steps/share_mix_steps.py
@@ -1,4 +1,4 @@
-"""Steps of five workspaces that ask for more than engines do, one of them in long prompts."""
+"""Steps of five workspaces that ask for more than engines can do, one in long prompts."""
 
 import random
 from typing import Any
@@ -11,26 +11,26 @@
     BEGINS_S,
     ServedHistory,
     Workload,
-    find_worst_part,
+    find_worst_share,
 )
 
 ROUTERS = 12
 ENGINES = 8
 ZONES = 3
 CONFIGURED_TOKENS_PER_S = 240_000.0
-"""What eight engines of 30 tokens a ms read."""
+"""The reading rate of eight engines at 30 tokens a ms."""
 
 LOW_TOKENS_PER_S = 100_000.0
-"""A third of what they do, since sessions' shared parts are kept."""
+"""A third of what engines do, as they need not read the cached parts of sessions again."""
 
 RATES_TOKENS_PER_S = {"a": 300_000.0, "b": 150_000.0, "c": 120_000.0, "d": 80_000.0, "e": 80_000.0}
 OWN_TOKENS = {"a": 700, "b": 1_500, "c": 2_500, "e": 1_000}
-"""Of the mean prompt; "d" asks in long ones."""
+"""Tokens of the mean prompt; "d" is given long ones by the scenario."""
 
 SEED = 0
 LOST_S = 5.0
 SETTLED_S = 4.0
-"""From so long after any change on, shares are judged."""
+"""Shares are checked from this long after the loss on."""
 
 ENDS_S = 17.0
 NETWORK = Network(lost_part=0.005, doubled_part=0.005)
@@ -44,10 +44,10 @@
     reached: int,
     configured_tokens_per_s: float = CONFIGURED_TOKENS_PER_S,
 ) -> ServedHistory:
-    """Let five workspaces ask for three times what engines do.
+    """Run five workspaces that ask for three times what engines can do.
 
-    :param long_tokens: of the mean prompt of "d".
-    :param reached: how many routers each workspace's callers reach.
+    :param long_tokens: tokens of the mean prompt of "d".
+    :param reached: the number of routers that each workspace's clients reach.
     """
     history = History(
         seed,
@@ -59,13 +59,13 @@
         tokens_per_s=configured_tokens_per_s,
     )
     history.run_until(BEGINS_S)
-    served = ServedHistory(history, returns=True)
+    served = ServedHistory(history, retries=True)
     draw = random.Random(seed)
     routers = list(history.alive)
     for number, (name, rate) in enumerate(RATES_TOKENS_PER_S.items()):
-        entries = [routers[(2 * number + step) % ROUTERS] for step in range(reached)]
+        reached_routers = [routers[(2 * number + step) % ROUTERS] for step in range(reached)]
         workload = Workload(name, rate, OWN_TOKENS.get(name, long_tokens))
-        served.ask_at_random(workload, entries, draw, ENDS_S)
+        served.ask_at_random(workload, reached_routers, draw, ENDS_S)
     for router in routers[ROUTERS - lost_routers :]:
         history.at(LOST_S, lambda router=router: history.kill_router(router))
     history.at(LOST_S, lambda: history.keep_engines(ENGINES - lost_engines))
@@ -96,5 +96,5 @@
     " or of what it asks, in any six seconds"
 )
 def check_parts(context: Any, part: float) -> None:
-    worst = find_worst_part(context.served, LOST_S + SETTLED_S, ENDS_S)
-    assert worst.part >= part, worst
+    worst = find_worst_share(context.served, LOST_S + SETTLED_S, ENDS_S)
+    assert worst.fraction >= part, worst
--- a/tests/steps/share_steps.py
+++ b/tests/steps/share_steps.py
@@ -1,4 +1,4 @@
-"""Steps of shares in a pool whose engines do less than its configuration says."""
+"""Steps of shares in a pool whose engines can do more or less than is configured."""
 
 import random
 from typing import Any
@@ -13,20 +13,20 @@
     SPAN_S,
     ServedHistory,
     Workload,
-    find_unfair,
+    find_underserved_workspaces,
 )
 
 CONFIGURED_TOKENS_PER_S = 120_000.0
-"""What four engines of 30 tokens a ms read."""
+"""The reading rate of four engines at 30 tokens a ms."""
 
 LOST_S = 6.0
 """When engines are lost."""
 
 SETTLED_S = 2.0
-"""A level follows what is asked and done within one window of the shares."""
+"""Within one window of the shares, the level follows what is asked for and served."""
 
 RATES_TOKENS_PER_S = {"a": 200_000.0, "b": 36_000.0, "c": 44_000.0}
-"""Of 120,000 tokens a second the max-min share is 42,000."""
+"""With a capacity of 120,000 tokens a second, the max-min share is 42,000."""
 
 
 WORKLOADS = (
@@ -35,7 +35,8 @@
     Workload("c", 80_000.0, 1_500),
     Workload("d", 20_000.0, 2_000),
 )
-"""Prompts of 9,000 tokens take half of their aim to read; the max-min share is 33,000."""
+"""The max-min share is 33,000. Prompts of 9,000 tokens take half of their first-token target to
+read."""
 
 
 def _start(
@@ -64,15 +65,15 @@
     context.served = served
 
 
-@then("the accountant has told the level and who is above it, once a second")
-def check_told(context: Any) -> None:
-    told = context.served.history.levels_noted
-    assert 3 <= len(told) <= 4, told
-    for note in told:
-        assert note.level_tokens <= note.shared_tokens <= note.configured_tokens, note
-        assert note.shared_tokens < note.asked_tokens, note
-        assert [row.workspace for row in note.above] == ["a"], note
-        assert note.reports >= 1, note
+@then("the accountant has reported the level and the workspaces above it, once a second")
+def check_reported(context: Any) -> None:
+    levels = context.served.history.levels_noted
+    assert 3 <= len(levels) <= 4, levels
+    for level in levels:
+        assert level.level_tokens <= level.shared_tokens <= level.configured_tokens, level
+        assert level.shared_tokens < level.asked_tokens, level
+        assert [row.workspace for row in level.above] == ["a"], level
+        assert level.reports >= 1, level
 
 
 @when(
@@ -80,38 +81,38 @@
     ' and "c" for slightly more'
 )
 def lose_engines(context: Any, lost: int) -> None:
-    context.unfair = {}
+    context.underserved = {}
     for seed in range(3):
         served = _start(seed, engines=4)
         end_s = LOST_S + SETTLED_S + SPAN_S
-        entries = list(served.history.alive)
-        for entry, (name, rate) in zip(entries, RATES_TOKENS_PER_S.items(), strict=False):
-            served.flood(entry, name, rate, end_s)
+        routers = list(served.history.alive)
+        for router, (name, rate) in zip(routers, RATES_TOKENS_PER_S.items(), strict=False):
+            served.flood(router, name, rate, end_s)
         served.history.at(LOST_S, lambda served=served: served.history.keep_engines(4 - lost))
         served.history.run_until(end_s + 2.0)
         asked, begun = served.count(LOST_S + SETTLED_S)
-        unfair = find_unfair(asked, begun)
-        if unfair:
-            context.unfair[seed] = (unfair, dict(asked), dict(begun))
+        underserved = find_underserved_workspaces(asked, begun)
+        if underserved:
+            context.underserved[seed] = (underserved, dict(asked), dict(begun))
 
 
 @when(
     '"a" floods in short prompts, and "b" and "c" ask for more than their shares, "b" in long ones'
 )
 def ask_in_sizes(context: Any) -> None:
-    context.unfair = {}
+    context.underserved = {}
     for seed in range(4):
         draw = random.Random(seed)
         served = _start(seed, engines=4)
-        entries = list(served.history.alive)
+        routers = list(served.history.alive)
         for workload in WORKLOADS:
-            reached = entries[:1] if workload.workspace == "b" else entries
+            reached = routers[:1] if workload.workspace == "b" else routers
             served.ask_at_random(workload, reached, draw, LOST_S + SETTLED_S + SPAN_S)
         served.history.run_until(LOST_S + SETTLED_S + SPAN_S + 2.0)
         asked, begun = served.count(LOST_S + SETTLED_S)
-        unfair = find_unfair(asked, begun)
-        if unfair:
-            context.unfair[seed] = (unfair, dict(asked), dict(begun))
+        underserved = find_underserved_workspaces(asked, begun)
+        if underserved:
+            context.underserved[seed] = (underserved, dict(asked), dict(begun))
 
 
 @then(
@@ -119,11 +120,13 @@
     " or of what it asks"
 )
 def check_alike(context: Any) -> None:
-    assert not context.unfair, f"by seed, who got too little, asked and got: {context.unfair}"
+    assert not context.underserved, (
+        f"by seed, underserved workspaces, asked and received: {context.underserved}"
+    )
 
 
 CROWD_TOKENS_PER_S = 250_000.0
-"""What "b" asks for: four times half of the capacity."""
+"""The rate that "b" asks for: four times half of the capacity."""
 
 
 @when(
@@ -141,32 +144,32 @@
     served.ask_at_random(Workload("b", CROWD_TOKENS_PER_S, OWN_TOKENS), others, draw, end_s)
     served.history.run_until(end_s + 2.0)
     asked, begun = served.count(BEGINS_S + SETTLED_S)
-    unfair = find_unfair(asked, begun)
-    context.unfair = {3: (unfair, dict(asked), dict(begun))} if unfair else {}
+    underserved = find_underserved_workspaces(asked, begun)
+    context.underserved = {3: (underserved, dict(asked), dict(begun))} if underserved else {}
 
 
 FLOOD_S = 6.0
-"""How long a flood of many times the capacity lasts."""
+"""The duration of a flood of many times the capacity."""
 
 NOTICED_S = 1.0
-"""Room is noticed again within this."""
+"""Time within which a router notices that engines have room again."""
 
 SMALL_TOKENS_PER_S = 24_000.0
-"""Configured for engines that do four times as much; the flood is 50 levels of it."""
+"""The configured capacity, a quarter of what engines do; the flood is 50 times its level."""
 
 
 def _flood_beyond(options: CoreOptions) -> ServedHistory:
-    """Flood two engines with many times the share, then ask for a little more than it."""
+    """Flood two engines with many times the share, then ask for slightly more than the share."""
     served = _start(5, engines=2, options=options, tokens_per_s=SMALL_TOKENS_PER_S)
-    entries = list(served.history.alive)
+    routers = list(served.history.alive)
     draw = random.Random(5)
     ends_s = BEGINS_S + FLOOD_S
-    served.ask_at_random(Workload("a", 1_000_000.0, OWN_TOKENS), entries[:1], draw, ends_s)
-    served.ask_at_random(Workload("d", 4_000.0, OWN_TOKENS), entries, draw, ends_s)
-    # Numbers apart from the flood's.
+    served.ask_at_random(Workload("a", 1_000_000.0, OWN_TOKENS), routers[:1], draw, ends_s)
+    served.ask_at_random(Workload("d", 4_000.0, OWN_TOKENS), routers, draw, ends_s)
+    # The request numbers differ from those of the flood.
     for number in range(200):
-        # 25,200 tokens a second: as much again as the 12,000 that half of a quarter are.
-        served.ask_at(entries[0], "a", 100_000 + number, OWN_TOKENS, ends_s + number * 0.05)
+        # 25,200 tokens a second, about twice 12,000, which is half of the configured capacity.
+        served.ask_at(routers[0], "a", 100_000 + number, OWN_TOKENS, ends_s + number * 0.05)
     served.history.run_until(ends_s + 14.0)
     return served
 
--- a/tests/steps/shedding_steps.py
+++ b/tests/steps/shedding_steps.py
@@ -1,4 +1,4 @@
-"""Steps of an overloaded router, modelled as a queue of work with the core's own decisions."""
+"""Steps of load shedding by a router, modelled as a work queue with the core's decisions."""
 
 import random
 from dataclasses import dataclass, field
@@ -9,13 +9,13 @@
 from myrtlehook_core import Shedding, record_lag, should_refuse
 
 STEP_S = 0.02
-REFUSAL_PART = 0.1
-"""What a refusal costs, against a request that is served."""
+REFUSAL_COST_FRACTION = 0.1
+"""The cost of a refusal as a fraction of the cost of a served request."""
 
 
 @dataclass(slots=True)
-class Router:
-    """A router that does a fixed number of requests a second."""
+class SimulatedRouter:
+    """A simulated router that can serve a fixed number of requests a second."""
 
     rate_per_s: float
     shedding: Shedding = field(default_factory=Shedding)
@@ -26,7 +26,7 @@
     lags_s: list[tuple[float, float]] = field(default_factory=list)
 
     def run(self, arrivals_per_s: float, seconds: float) -> None:
-        """Let requests of a large and a small workspace come."""
+        """Receive requests of a large and a small workspace at an average rate."""
         draw = random.Random(1)
         due = 0.0
         end_s = self.now_s + seconds
@@ -38,13 +38,13 @@
             due += arrivals_per_s * STEP_S * draw.uniform(0.5, 1.5)
             while due >= 1.0:
                 due -= 1.0
-                self._take("small" if draw.random() < 1.0 / 11.0 else "large")
+                self._handle_request("small" if draw.random() < 1.0 / 11.0 else "large")
 
-    def _take(self, workspace: str) -> None:
+    def _handle_request(self, workspace: str) -> None:
         cost_s = 1.0 / self.rate_per_s
         if should_refuse(self.shedding, workspace):
             self.refused_s.append((self.now_s, workspace))
-            self.backlog_s += REFUSAL_PART * cost_s
+            self.backlog_s += REFUSAL_COST_FRACTION * cost_s
             return
         self.done += 1
         self.backlog_s += cost_s
@@ -52,7 +52,7 @@
 
 @when("a router that can do {rate:g} requests a second gets {arrivals:g}, for {seconds:g} s")
 def run_router(context: Any, rate: float, arrivals: float, seconds: float) -> None:
-    context.router = Router(rate)
+    context.router = SimulatedRouter(rate)
     context.router.run(arrivals, seconds)
 
 
--- a/tests/steps/small_workspace_steps.py
+++ b/tests/steps/small_workspace_steps.py
@@ -14,13 +14,15 @@
 from standins.pools import make_request
 
 AIM_S = 0.6
-"""Of requests in histories."""
+"""The first-token target of requests in histories."""
 
 FLOOD_INTERVAL_S = 0.01
-"""At 1,200 tokens a request, twice what two engines of 30 tokens a ms read."""
+"""At 1,200 tokens a request, this is twice what two engines of 30 tokens a ms read."""
 
 
-def _waiting(request_id: str, tier: int, above_share: bool, asked_at_s: float) -> WaitingAdmission:
+def _make_waiting(
+    request_id: str, tier: int, above_share: bool, asked_at_s: float
+) -> WaitingAdmission:
     return WaitingAdmission(
         request_id=request_id,
         router_id="r",
@@ -39,13 +41,15 @@
     )
 
 
-@then("at an engine, they come before others' shares, and those before what exceeds a share")
+@then(
+    "at an engine, they go before others within their shares, and those before requests above one"
+)
 def check_order(context: Any) -> None:
     load = EngineLoad(0.0, PromptCache(100_000), make_model(None))
     asked = [
-        _waiting("excess", 1, True, 0.0),
-        _waiting("share", 0, True, 0.1),
-        _waiting("small", 0, False, 0.2),
+        _make_waiting("excess", 1, True, 0.0),
+        _make_waiting("share", 0, True, 0.1),
+        _make_waiting("small", 0, False, 0.2),
     ]
     load.waiting = {item.request_id: item for item in asked}
     order = [item.request_id for item in order_waiting(load, 0.3)]
@@ -56,13 +60,13 @@
 def check_small_in_time(context: Any) -> None:
     history = History(4, routers=3, engines=2, network=Network(), options=CoreOptions())
     history.run_until(1.5)
-    entries = list(history.alive)
+    routers = list(history.alive)
     for number in range(1200):
         time_s = 1.5 + number * FLOOD_INTERVAL_S
         workspace = "a" if number % 20 else "b"
         request = make_request(f"q{number}", workspace, number % 7, 700, time_s, True)
-        entry = entries[number % len(entries)]
-        history.at(time_s, lambda entry=entry, request=request: history.ask(entry, request))
+        router = routers[number % len(routers)]
+        history.at(time_s, lambda router=router, request=request: history.ask(router, request))
     history.run_until(18.0)
     settled_s = 1.5 + CoreOptions().quota_window_s
     late = []
@@ -84,10 +88,11 @@
 """When the second workspace begins to flood."""
 
 SPAN_S = 6.0
-"""Over so long two workspaces that flood are compared."""
+"""The period over which the two flooding workspaces are compared."""
 
-MOST_TIMES = 1.6
-"""What one may get more than the other in it; the users' bound is 2, and sizes vary."""
+MAX_RATIO = 1.6
+"""The most times as much as the other that a workspace may receive. The users' bound is 2; the
+margin is for requests of varying size."""
 
 
 @then("a workspace that floods suddenly gets little more than one that has flooded before")
@@ -105,15 +110,15 @@
         # An answer of a history ends 0.1 s after it has begun.
         and FLOODS_S <= outcome.ended_at_s - 0.1 < FLOODS_S + SPAN_S
     )
-    assert MOST_TIMES * served["a"] >= served["b"] > 0, served
+    assert MAX_RATIO * served["a"] >= served["b"] > 0, served
 
 
 def _flood(
-    history: History, entry: str, workspace: str, begins_s: float, interval_s: float
+    history: History, router: str, workspace: str, begins_s: float, interval_s: float
 ) -> None:
-    """Let a workspace send requests to one router until the comparison's end."""
+    """Send a workspace's requests to one router until the end of the comparison."""
     for number in range(int((FLOODS_S + SPAN_S - begins_s) / interval_s)):
         time_s = begins_s + number * interval_s
         request_id = f"{workspace}{number}"
         request = make_request(request_id, workspace, number % 7, 700, time_s, True)
-        history.at(time_s, lambda request=request: history.ask(entry, request))
+        history.at(time_s, lambda request=request: history.ask(router, request))
--- a/tests/steps/urgent_request_steps.py
+++ b/tests/steps/urgent_request_steps.py
@@ -1,4 +1,4 @@
-"""Steps of kinds of requests with different aims that compete for engines, in histories."""
+"""Steps of requests with different first-token targets that compete for engines."""
 
 from dataclasses import replace
 from typing import Any
@@ -12,7 +12,7 @@
 
 START_S = 1.0
 WARM_UP_S = 1.5
-"""What comes before this is not counted: the engines are empty at first."""
+"""Requests of this period are not counted, since the engines are empty at first."""
 
 OPTIONS = CoreOptions()
 
@@ -66,7 +66,7 @@
 
 
 def _ask_late(context: Any, router: str, number: int) -> None:
-    """Let a request reach its engine's owner long after its arrival at a router."""
+    """Send a request to its engine's owner long after its arrival at a router."""
     history: History = context.history
     _, tokens, aim_s = context.kinds["patient"]
     at_s = START_S + number / context.late_rate
@@ -77,7 +77,7 @@
     history.at(at_s, lambda: history.ask(router, request))
 
 
-def _refused_part(context: Any, kind: str) -> float:
+def _compute_refused_fraction(context: Any, kind: str) -> float:
     history: History = context.history
     rate, _, _ = context.kinds[kind]
     first = int(rate * WARM_UP_S)
@@ -92,14 +92,14 @@
 
 @then("urgent requests are refused at most {times:g} times as often as patient ones")
 def check_urgent(context: Any, times: float) -> None:
-    refused = _refused_part(context, "urgent")
-    others = _refused_part(context, "patient")
+    refused = _compute_refused_fraction(context, "urgent")
+    others = _compute_refused_fraction(context, "patient")
     assert refused <= times * others, f"{refused:.3f} and {others:.3f}"
 
 
 @then("at most {part:g} of the patient requests are refused")
 def check_patient(context: Any, part: float) -> None:
-    refused = _refused_part(context, "patient")
+    refused = _compute_refused_fraction(context, "patient")
     assert refused <= part, refused
 
 
--- a/tests/steps/zone_steps.py
+++ b/tests/steps/zone_steps.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 from typing import Any
 
-from accountant_steps import account_of
+from accountant_steps import make_account
 from behave import given as before
 from behave import then, when
 
@@ -189,7 +189,7 @@
             missing = abs(told[workspace] - tokens)
             assert missing <= LEVEL_TOLERANCE_PART * tokens, (name, level, asked)
         configured_tokens = limits.tokens_per_s * window_s
-        shared_tokens = compute_shared_tokens(account_of(level.rows), configured_tokens)
+        shared_tokens = compute_shared_tokens(make_account(level.rows), configured_tokens)
         wanted = compute_level(list(asked.values()), shared_tokens)
         assert wanted is not None
         wrong = abs(level.level_tokens - wanted)
