--- a/tests/features/entries.feature
+++ b/tests/features/entries.feature
@@ -1,7 +1,7 @@
-Feature: Entries of servers in the platform's store, from whatever writer
-  Scenario Outline: An entry that the platform's own servers would not write names no server
+Feature: Invalid entries and restarts of servers in the platform's store
+  Scenario Outline: An invalid entry defines no server
     When the entry of a server has <field> as <value>
-    Then it names no server, and the fault tells "<told>"
+    Then it defines no server, and the fault mentions "<told>"
 
     Examples:
       | field          | value           | told             |
@@ -19,20 +19,20 @@
       | Address        | "999.0.0.1:80"  | IPv4             |
       | Service        | ""              | Service          |
 
-  Scenario: Whatever stands in one entry, the others hold
-    Then of any page of 50 entries of which some were spoilt, just the sound ones name servers
+  Scenario: An invalid entry does not affect the others
+    Then of any page of 50 entries of which some are corrupted, only the valid ones define servers
 
-  Scenario: A server that starts again under its id is another one
-    Given a server that runs requests, is ejected and keeps parts of prompts
-    When it starts again under the id that it had
-    Then nothing that was believed of the earlier start holds
-    And the next request goes to the new start, which is named by its id
+  Scenario: A server that restarts under its id is a new server
+    Given a server that is ejected and has been sent parts of prompts
+    When it restarts under the same id
+    Then no state of the earlier start is left
+    And the next request goes to the new start, which has the same id
 
-  Scenario: A start takes the place of the one before also after an outage
+  Scenario: A new start replaces the earlier one also after an outage
     When a list after an outage has another start of a server
     Then only the new start is known
 
-  Scenario: A start takes the place of the one before also where a peer tells of it
+  Scenario: A new start replaces the earlier one also where a peer reports it
     When a peer's whole list after an outage has another start of a server
     Then only the new start is known
 
@@ -41,7 +41,7 @@
     Then only the new start is known
 
   @nodes.2
-  Scenario: An engine that starts again under its id is used again
+  Scenario: An engine that restarts under its id is used again
     When "planners" is served by each engine
-    And every engine ends, and starts again under its id
+    And every engine ends, and restarts under its id
     Then "planners" is served by each engine
--- a/tests/features/evacuations.feature
+++ b/tests/features/evacuations.feature
@@ -1,42 +1,42 @@
-Feature: An evacuated zone's servers get nothing until it is taken back
+Feature: An evacuated zone's servers get no requests until the evacuation ends
 
   # Guards against: a zone's engines got 959 requests after the operator had evacuated it.
 
-  Scenario: A zone is evacuated under load and taken back
+  Scenario: A zone is evacuated under load until its evacuation ends
     Given 6 routers and 6 engines in 3 zones whose cold starts last 3 s, 10 requests a second
     And callers that ask for more than the engines can do
     When zone "z1" is evacuated from 2 s to 5 s
     Then its engines get nothing in between, and what ran there ends well
-    And the engines of the other zones read at least 0.95 of what they can
-    And in the 3 s after it is taken back none of its engines gets more than 20 requests in a second
+    And the engines of the other zones read at least 0.95 of the tokens that they can
+    And in the 3 s after its evacuation ends none of its engines gets more than 20 requests in a second
 
-  Scenario: All routers of a fleet hear of it from the few that read the source
+  Scenario: All routers learn of an evacuation from the few that read the source
     Given 24 routers in 3 zones that read a source and have run for 4 s
     When zone "z1" is evacuated in the source
-    Then within 1 s every router holds it to be evacuated
-    When a router starts anew
-    Then within 1 s every router holds it to be evacuated
+    Then within 1 s every router considers it evacuated
+    When a router restarts
+    Then within 1 s every router considers it evacuated
     When the source is silent to every router for 3 s
-    Then within 0 s every router holds it to be evacuated
-    When zone "z1" is taken back in the source
-    Then within 1 s every router holds none to be evacuated
+    Then within 0 s every router considers it evacuated
+    When the evacuation of zone "z1" ends in the source
+    Then within 1 s every router considers no zone evacuated
 
-  Scenario: A router that was cut off hears of it late, and of its end
+  Scenario: A router that was cut off learns of an evacuation once it is connected again
     Given 24 routers in 3 zones that read a source and have run for 4 s
     When a router is cut off from all others and from the source
     And zone "z1" is evacuated in the source
-    And 4 s go by
-    And it is cut off no more
-    Then within 2.5 s every router holds it to be evacuated
+    And 4 s pass
+    And it is connected again
+    Then within 2.5 s every router considers it evacuated
 
-  Scenario: A source that comes back from a copy is obeyed
+  Scenario: Routers follow a source that is restored from a copy
     Given 24 routers in 3 zones that read a source and have run for 4 s
     When zone "z1" is evacuated in the source
-    And 1 s go by
-    And the source comes back from a copy of before that
-    Then within 1.5 s every router holds none to be evacuated
+    And 1 s pass
+    And the source is restored from a copy made before
+    Then within 1.5 s every router considers no zone evacuated
 
-  Scenario Outline: What the store holds is read
+  Scenario Outline: The evacuated zones are read from the store's keys
     Given a store with the keys <keys>
     Then the evacuated zones are <zones>
 
@@ -49,8 +49,8 @@
 
   @nodes.2.many
   Scenario: A zone is evacuated on the emulated platform
-    Given a site whose busiest engine and two others stand in zone "hall-2"
-    When zone "hall-2" is evacuated there, and callers send for 2 s after a second
-    Then the servers of zone "hall-2" got none of that, and all were answered
-    When zone "hall-2" is taken back there, and callers send for 2 s after a second
-    Then the servers of zone "hall-2" got some of that, and all were answered
+    Given a site whose busiest engine and two others are in zone "hall-2"
+    When zone "hall-2" is evacuated there, and a second later clients send for 2 s
+    Then the servers of zone "hall-2" got none of the requests, and all were answered
+    When the evacuation of zone "hall-2" ends there, and a second later clients send for 2 s
+    Then the servers of zone "hall-2" got some of the requests, and all were answered
--- a/tests/features/links.feature
+++ b/tests/features/links.feature
@@ -1,15 +1,15 @@
 Feature: Connections between routers that go silent without a reset
-  # Seen: from the moment at which connections between routers went silent, without a reset, a
-  # quarter of what callers asked was late or failed, to the end of the day.
-  # Cause: a connection between routers was opened once; what was sent on a silent one was lost,
-  # and helpers that still reached the other router hid it.
-  Scenario: A link that went silent is opened anew, though others vouch for the router
+  # Guards against: after connections between routers went silent without a reset, a quarter of
+  # the requests were late or failed until the end of the day. A connection was never reopened:
+  # all messages on it were lost, and indirect probes, which still reached the other router, kept
+  # it from being suspected.
+  Scenario: A silent link is reopened though other routers still reach its router
     Given a fleet of 6 routers that know one another
-    When what one router sends another is lost for good on its present connection
-    Then it opens the connection anew within 5 seconds
-    And neither takes the other for dead meanwhile
+    When all that one router sends another on the present connection is lost
+    Then it reopens the connection within 5 seconds
+    And no router is considered dead meanwhile
 
   Scenario: Messages pass again on the new connection
-    Given a router that sends to another through a link that has gone silent
-    When it opens the connection anew
+    Given a router that sends to another through a link that has become silent
+    When it reopens the connection
     Then its next message arrives
--- a/tests/features/source.feature
+++ b/tests/features/source.feature
@@ -1,7 +1,7 @@
 Feature: Few routers read the source, and all know what it publishes
-  Decision cores alone; the source answers those that read it.
+  Simulated histories of decision cores; the source answers the routers that read it.
 
-  Scenario: Of many routers few read, and news reaches all at once
+  Scenario: A few of many routers read the source, and news reaches all at once
     Given a fleet of 12 routers that has run for 3 s
     Then 4 routers read the source
     When a server is published and a new configuration too
@@ -26,7 +26,7 @@
     When the readers start again
     Then after 0.5 s every router knows both
 
-  Scenario: A router that the source turns away from its start serves from peers' news
+  Scenario: A router that the source never answers learns of changes from its peers
     Given a fleet of 12 routers that has run for 3 s
     When a router that is no reader ends and starts again, and the source is silent to it
     And a server is published and a new configuration too
@@ -44,15 +44,15 @@
     And a server is published and a new configuration too
     Then after 2.5 s every router knows both
 
-  Scenario: While the source is away it is not asked by the whole fleet at once
+  Scenario: While the source is unavailable the routers do not all read it at once
     Given a fleet of 40 routers that has run for 3 s
     When the source is silent to every router
     Then after 4.5 s at most 30 routers read the source
     When the source answers again
     Then after 3.0 s at most 5 routers read the source
 
-  Scenario: For any changes, lost and doubled messages, all routers end with the source's list
+  Scenario: For any changes, lost and duplicated messages, all routers end with the source's list
     Then for any history of the source, all routers end with what it publishes
 
-  Scenario: For any two lists, what a peer tells makes one the other
-    Then for any changes, a peer that takes them knows the same servers
+  Scenario: For any two lists, the changes that a reader sends turn one into the other
+    Then for any changes, a peer that applies them knows the same servers
--- a/tests/features/zones.feature
+++ b/tests/features/zones.feature
@@ -1,4 +1,4 @@
-Feature: A fleet over several availability zones says little between them
+Feature: A fleet in several availability zones sends little between them
 
   Scenario: Backend servers are owned in their own zone while it has a router
     Given 24 routers and 9 engines in 3 zones that have run for 3 s
@@ -8,23 +8,23 @@
     When they are started again
     Then within 3 s every router names the same owners, each in its engine's zone
 
-  Scenario: Routers that have nothing to do say little to other zones
+  Scenario: Idle routers send little to other zones
     Given 24 routers and 9 engines in 3 zones that have run for 5 s
     Then in 10 s more at most a quarter of the bytes between routers cross zones
 
-  Scenario: What a zone asks for is told to the accountant in one report
+  Scenario: A zone's demand is reported to the accountant in one report
     Given 48 routers and 9 engines in 3 zones that have run for 3 s
     When all of them get requests of 3 workspaces for 4 s
     Then reports and levels between zones are at most 0.15 of those within them
-    And every router that was asked knows the level, and it is that of all reports together
+    And every router that got requests knows the share level, which follows from all reports together
 
   Scenario: A zone's collector ends
     Given 48 routers and 9 engines in 3 zones that have run for 3 s
     When all of them get requests of 3 workspaces for 4 s
     And the collector of zone "z1" ends while they go on for 3 s
-    Then every router that was asked knows the level, and it is that of all reports together
+    Then every router that got requests knows the share level, which follows from all reports together
 
-  Scenario Outline: An end is known everywhere
+  Scenario Outline: All routers learn of the end of a router
     Given 48 routers and 0 engines in 3 zones that have run for 3 s
     When <what> at once
     Then within <seconds> s every other router knows it
@@ -55,21 +55,21 @@
       | 3    | 12  | 500    | the home of all |
       | 0    | 12  | 500    | the home of all |
 
-  Scenario: A zone with all callers does not keep them waiting while engines elsewhere are free
+  Scenario: Requests that all arrive in one zone use free engines of other zones
     Given 24 routers and 12 engines in 3 zones without shares, after 3 s
     When the routers of zone "z" alone get 150 requests a second for 3 s
-    Then every request is served, its engine given within 0.85 of its aim
+    Then every request is served, its engine granted within 0.85 of its aim
     And engines of every zone have served some
 
-  Scenario: A router that is no longer its zone's collector leaves the sums to the one that is
+  Scenario: A router that is no longer its zone's collector reports no sums of its zone
     Given 48 routers and 9 engines in 3 zones that have run for 3 s
     When all of them get requests of 3 workspaces for 4 s
     And a router that is no collector holds a sum that was sent to it
-    Then its next report goes out without that sum, which it forgets
+    Then its next report omits that sum, and the sum is dropped
 
-  Scenario: News that a router of another zone only passes on is not told to the whole zone again
+  Scenario: News that a router of another zone only relays is not announced to the whole zone again
     Given 24 routers and 0 engines in 3 zones that have run for 3 s
-    When a router hears in an announcement of another zone that a third router ended
+    When a router receives an announcement from another zone that a third router ended
     Then it announces nothing
-    When it hears in an announcement of another zone that the sender stops
+    When it receives an announcement from another zone that the sender is leaving
     Then it announces that to its zone
--- a/tests/standins/histories.py
+++ b/tests/standins/histories.py
@@ -1,7 +1,8 @@
-"""Drives several decision cores through one history of requests, faults and lost messages.
+"""Simulates a fleet of routers and engines through a history of requests and faults.
 
-Nothing here sleeps: time is a number, messages are delivered, doubled, delayed or lost
-as the history's random source says, and engines answer after a time of their own.
+The routers are real decision cores; the engines, the network and the clock are simulated.
+Nothing here sleeps: time is a number, and the history's random generator decides whether a
+message is delivered, duplicated, delayed or lost.
 """
 
 import heapq
@@ -38,32 +39,32 @@
 TICK_S = 0.02
 READ_INTERVAL_S = 0.1
 END_DELAY_S = 0.04
-"""How long after its beginning a run ends its engine."""
+"""From the beginning of a run to the end of the engine, if the request ends engines."""
 
-NOTICE_S = 0.06
-"""How long a router takes to be sure that an engine has ended, and to hear what that means."""
+END_DETECTION_S = 0.06
+"""From the end of an engine to the failure that its router reports for each run there."""
 
-ANSWER_S = 0.002
-"""What an engine's refusal takes to come back."""
+REFUSAL_DELAY_S = 0.002
+"""From a dispatch to an engine's refusal."""
 
-BACK_AFTER_S = 1.5
-"""How long after its end an engine is back."""
+ENGINE_DOWN_S = 1.5
+"""From the end of an engine to its restart."""
 
 RATE_TOKENS_PER_S = 30_000.0
 
 
 @dataclass(frozen=True, slots=True)
 class Network:
-    """What may happen to a message between two routers."""
+    """The probabilities of faults of messages between routers, and the longest delay."""
 
-    lost_part: float = 0.0
-    doubled_part: float = 0.0
-    longest_delay_s: float = 0.003
+    loss_probability: float = 0.0
+    duplicate_probability: float = 0.0
+    max_delay_s: float = 0.003
 
 
 @dataclass(slots=True)
 class Source:
-    """What is published to the routers that read it."""
+    """The configuration source: what it publishes, and which routers get no answer from it."""
 
     configuration_number: int = 1
     era: int = 1
@@ -71,19 +72,21 @@
     servers: dict[str, BackendServer] = field(default_factory=dict)
     evacuated_zones: frozenset[str] = frozenset()
     silent_to: set[str] = field(default_factory=set)
-    refuses: set[str] = field(default_factory=set)
+    refused_to: set[str] = field(default_factory=set)
     calls: Counter[str] = field(default_factory=Counter)
 
-    copied: tuple[dict[str, BackendServer], int, int] = field(default_factory=lambda: ({}, 1, 1))
-    """Of the copy: servers, revision and configuration."""
+    saved_copy: tuple[dict[str, BackendServer], int, int] = field(
+        default_factory=lambda: ({}, 1, 1)
+    )
+    """Servers, revision and number of the configuration."""
 
     def keep_copy(self) -> None:
-        """Keep a copy of what is published now."""
-        self.copied = (dict(self.servers), self.revision, self.configuration_number)
+        """Save a copy of what is published now."""
+        self.saved_copy = (dict(self.servers), self.revision, self.configuration_number)
 
     def return_from_copy(self) -> None:
-        """Come back from the copy; what was published since is gone."""
-        servers, self.revision, self.configuration_number = self.copied
+        """Restore the copy in a new era; what was published since is lost."""
+        servers, self.revision, self.configuration_number = self.saved_copy
         self.servers = dict(servers)
         self.era += 1
 
@@ -98,7 +101,7 @@
         self.servers[name] = BackendServer(name, POOL, "10.0.1.9:80", "z", 16, False, leaving)
 
     def evacuate(self, *zones: str) -> None:
-        """Let these zones get nothing, and all others be as ever."""
+        """Publish these zones as the evacuated ones."""
         self.revision += 1
         self.evacuated_zones = frozenset(zones)
 
@@ -110,9 +113,11 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineRun:
-    """A request at an engine."""
+    """A run of a request at an engine."""
+
+    ingress: str
+    """The router that sent the request."""
 
-    entry: str
     core: RouterCore
     request: RequestSpecification
     began_s: float
@@ -120,14 +125,14 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """All that happened to one request."""
+    """What happened to one request."""
 
-    entry: str
+    ingress: str
     deadline_s: float
     dispatched: list[str] = field(default_factory=list)
     dispatched_at_s: list[float] = field(default_factory=list)
     memory_sources: list[str] = field(default_factory=list)
-    """For each dispatch, the engine that hands the prompt's beginning over."""
+    """For each dispatch, the engine that transfers the prompt's beginning."""
     unread_tokens: list[int] = field(default_factory=list)
     refused_at_s: list[float] = field(default_factory=list)
     ended_at_s: float | None = None
@@ -151,8 +156,9 @@
     ) -> None:
         """Start the routers of a history.
 
-        :param zones: availability zones, over which routers and engines are spread in turn.
-        :param tokens_per_s: what the configuration says that all engines produce.
+        :param zones: number of availability zones, to which routers and engines are assigned
+            in turn.
+        :param tokens_per_s: rate that the configuration states for all engines together.
         """
         self.random = random.Random(seed)
         self.network = network
@@ -160,32 +166,32 @@
         self.alive: dict[str, RouterCore] = {}
         self.outcomes: dict[str, Outcome] = {}
         self.unread_tokens: Counter[str] = Counter()
-        """Prompt tokens sent to each engine whose answers have not begun."""
+        """By engine: prompt tokens of the requests sent to it whose answers have not begun."""
         self.most_unread_tokens: Counter[str] = Counter()
         self.engine_free_s: dict[str, float] = {}
         self.broken_engines: set[str] = set()
         self.engine_runs: dict[str, dict[str, EngineRun]] = {}
         """By engine and request."""
         self.ends_engine: Callable[[RequestSpecification], bool] = lambda request: False
-        """Whether a request ends each engine that begins it."""
+        """Whether a request ends each engine that runs it."""
         self.ended_at_s: list[float] = []
         """When engines ended."""
         self.leaving_engines: set[str] = set()
-        """Those that say in each answer that they leave, and nowhere else."""
+        """Engines that report in each answer, and nowhere else, that they are leaving."""
         self.backoff_s: Callable[[str], float] = lambda engine: 0.0
-        """For how long an engine turns the router away whose request has just come; 0: not."""
-        self.told_leaving_s: dict[tuple[str, str], float] = {}
-        """When each router was first told by an answer that an engine leaves."""
-        self.told_backoffs: dict[tuple[str, str], list[tuple[float, float]]] = {}
-        """By router and engine: when it was told to leave the engine alone, and until when."""
+        """By engine: the back-off with which it refuses the present request; 0 if it accepts it."""
+        self.leaving_reported_at_s: dict[tuple[str, str], float] = {}
+        """By router and engine: when an answer first reported that the engine is leaving."""
+        self.reported_backoffs: dict[tuple[str, str], list[tuple[float, float]]] = {}
+        """By router and engine: beginning and end of each back-off that the engine asked for."""
         self.dispatches: list[tuple[str, str, float]] = []
-        """Each send: by which router, to which engine, when."""
+        """Router, engine and time of each dispatch."""
         self.refusal_reasons: dict[str, list[str]] = {}
         """By request."""
         self.is_cut: Callable[[str, str], bool] = lambda sender, receiver: False
         """Whether messages from one router to another are lost."""
-        self.renewed: list[tuple[str, str]] = []
-        """Connections that routers opened anew: whose, and to whom."""
+        self.renewed_links: list[tuple[str, str]] = []
+        """Connections that routers opened anew, by router and peer."""
         self.sent_bytes: Counter[tuple[str, str]] = Counter()
         """By kind of message, and by "own zone" or "other zones"."""
         self.sent_messages: Counter[str] = Counter()
@@ -193,11 +199,11 @@
         self.zones: dict[str, str] = {}
         """By router."""
         self.shedding: dict[str, Shedding] = {}
-        """What routers that are short of processor time know of that."""
-        self.owners_refused = 0
-        """How often an engine's owner has refused a request."""
-        self.levels_noted: list[actions.ShareLevelReported] = []
-        """What accountants have told on-call."""
+        """By router that lacks processor time: its state of load shedding."""
+        self.owner_refusals = 0
+        """Number of refusals by engines' owners."""
+        self.level_reports: list[actions.ShareLevelReported] = []
+        """Share levels that accountants have reported to operators."""
         self._configuration = make_configuration(tokens_per_s, cold_start)
         self._source = source
         self._options = options
@@ -223,7 +229,7 @@
             self.start_router(name)
 
     def start_router(self, name: str) -> None:
-        """Start a router, or start it again with an empty memory."""
+        """Start a router, or restart it without any state."""
         identity = RouterIdentity(name, name, next(self._incarnations), self.zones[name])
         configuration = self._configuration
 
@@ -242,15 +248,15 @@
         self._tick(name, core)
 
     def kill_router(self, name: str) -> None:
-        """End a router; the engines drop what it ran."""
+        """End a router; engines abandon its runs."""
         if self.alive.pop(name, None) is None:
             return
-        for told in (self.told_leaving_s, self.told_backoffs):
-            for key in [key for key in told if key[0] == name]:
-                # Nothing of a router outlasts it.
-                del told[key]
+        for notices in (self.leaving_reported_at_s, self.reported_backoffs):
+            for key in [key for key in notices if key[0] == name]:
+                # A restarted router has received no notices yet.
+                del notices[key]
         for outcome in self.outcomes.values():
-            if outcome.entry == name:
+            if outcome.ingress == name:
                 outcome.running = False
 
     def keep_engines(self, count: int) -> None:
@@ -260,7 +266,7 @@
     def publish(
         self, servers: tuple[BackendServer, ...], evacuated: frozenset[str] = frozenset()
     ) -> None:
-        """List other engines, and zones that get nothing; every router learns of it at once."""
+        """Replace the listed engines and evacuated zones; every router learns of it at once."""
         self._servers = servers
         self._evacuated = evacuated
         for name in list(self.alive):
@@ -272,32 +278,32 @@
         return self._servers
 
     def at(self, time_s: float, work: Callable[[], None]) -> None:
-        """Do something at a time."""
+        """Schedule a call for a time of the history."""
         heapq.heappush(self._queue, (time_s, next(self._numbers), work))
 
     def run_until(self, end_s: float) -> None:
-        """Play the history up to a time."""
+        """Run the history up to a time."""
         while self._queue and self._queue[0][0] <= end_s:
             time_s, _, work = heapq.heappop(self._queue)
             self.now_s = max(self.now_s, time_s)
             work()
         self.now_s = end_s
 
-    def ask(self, entry: str, request: RequestSpecification) -> None:
-        """Let a caller send a request to a router."""
-        if entry not in self.alive:
+    def ask(self, ingress: str, request: RequestSpecification) -> None:
+        """Send a client's request to a router, if that is alive."""
+        if ingress not in self.alive:
             return
-        outcome = self.outcomes[request.request_id] = Outcome(entry, request.deadline_s)
-        shares = self.alive[entry].shares
-        intake = count_arrival(shares, request, self.now_s)
-        shedding = self.shedding.get(entry)
-        if shedding is not None and should_shed(shares, shedding, request, intake, self.now_s):
+        outcome = self.outcomes[request.request_id] = Outcome(ingress, request.deadline_s)
+        shares = self.alive[ingress].shares
+        standing = count_arrival(shares, request, self.now_s)
+        shedding = self.shedding.get(ingress)
+        if shedding is not None and should_shed(shares, shedding, request, standing, self.now_s):
             outcome.refused_at_s.append(self.now_s)
             return
-        self.feed(entry, events.RequestArrived(request, intake))
+        self.feed(ingress, events.RequestArrived(request, standing))
 
     def feed(self, name: str, event: events.Event) -> None:
-        """Hand an event to a router and carry out what it asks for."""
+        """Have a router handle an event, and carry out the actions that it returns."""
         core = self.alive.get(name)
         if core is None:
             return
@@ -317,7 +323,7 @@
         if not core.source_readers.reading or name in source.silent_to:
             return
         source.calls[name] += 1
-        if name in source.refuses:
+        if name in source.refused_to:
             self.feed(name, events.SourceFailed())
             return
         self.feed(name, events.ConfigurationRead(str(source.configuration_number)))
@@ -330,34 +336,37 @@
         if isinstance(action, actions.Send):
             self._deliver(name, core, action)
         elif isinstance(action, actions.RenewLink):
-            self.renewed.append((name, action.router_id))
+            self.renewed_links.append((name, action.router_id))
         elif isinstance(action, actions.Refuse):
             self.outcomes[action.request_id].refused_at_s.append(self.now_s)
             self.refusal_reasons.setdefault(action.request_id, []).append(action.reason)
         elif isinstance(action, actions.Dispatch):
-            self._run(name, core, action)
+            self._dispatch(name, core, action)
         elif isinstance(action, actions.AdmissionDecided):
-            self.owners_refused += action.retry_after_ms is not None
+            self.owner_refusals += action.retry_after_ms is not None
         elif isinstance(action, actions.ShareLevelReported):
-            self.levels_noted.append(action)
+            self.level_reports.append(action)
 
     def _deliver(self, sender: str, core: RouterCore, action: actions.Send) -> None:
-        near = self.zones[sender] == self.zones.get(action.router_id)
+        is_near = self.zones[sender] == self.zones.get(action.router_id)
         kind = type(action.message).__name__
         size_bytes = len(memoryview(encode_message(action.message)))
-        self.sent_bytes[kind, "own zone" if near else "other zones"] += size_bytes
+        self.sent_bytes[kind, "own zone" if is_near else "other zones"] += size_bytes
         self.sent_messages[kind] += 1
         copies = 1
-        if self.is_cut(sender, action.router_id) or self.random.random() < self.network.lost_part:
+        if (
+            self.is_cut(sender, action.router_id)
+            or self.random.random() < self.network.loss_probability
+        ):
             copies = 0
-        elif self.random.random() < self.network.doubled_part:
+        elif self.random.random() < self.network.duplicate_probability:
             copies = 2
         event = events.MessageReceived(sender, core.identity.incarnation, action.message)
         for _ in range(copies):
-            delay_s = self.random.random() * self.network.longest_delay_s
+            delay_s = self.random.random() * self.network.max_delay_s
             self.at(self.now_s + delay_s, lambda: self.feed(action.router_id, event))
 
-    def _run(self, name: str, core: RouterCore, action: actions.Dispatch) -> None:
+    def _dispatch(self, name: str, core: RouterCore, action: actions.Dispatch) -> None:
         request_id, engine = action.request_id, action.backend_server
         outcome = self.outcomes[request_id]
         outcome.dispatched.append(engine)
@@ -371,7 +380,10 @@
             return
         backoff_s = self.backoff_s(engine)
         if backoff_s > 0.0:
-            self.at(self.now_s + ANSWER_S, partial(self._turn_away, name, core, action, backoff_s))
+            self.at(
+                self.now_s + REFUSAL_DELAY_S,
+                partial(self._refuse_with_backoff, name, core, action, backoff_s),
+            )
             return
         outcome.running = True
         unread = core.admissions.open[request_id].unread_tokens
@@ -384,66 +396,66 @@
         self.engine_free_s[engine] = begin_s
         run = EngineRun(name, core, core.admissions.open[request_id].request, self.now_s)
         self.engine_runs.setdefault(engine, {})[request_id] = run
-        self.at(begin_s, lambda: self._begin(run, engine, unread))
+        self.at(begin_s, lambda: self._begin_answer(run, engine, unread))
         if self.ends_engine(run.request):
-            self.at(begin_s + END_DELAY_S, lambda: self._end_by(run, engine))
-        self.at(begin_s + 0.1, lambda: self._end(run, engine))
+            self.at(begin_s + END_DELAY_S, lambda: self._end_engine_by(run, engine))
+        self.at(begin_s + 0.1, lambda: self._complete_run(run, engine))
 
-    def _turn_away(
+    def _refuse_with_backoff(
         self, name: str, core: RouterCore, action: actions.Dispatch, backoff_s: float
     ) -> None:
-        """Let an engine answer that it wants nothing more of a router for a time."""
+        """Let an engine refuse a request and ask its router to back off for a time."""
         if self.alive.get(name) is not core:
             return
         engine, until_s = action.backend_server, self.now_s + backoff_s
-        self.told_backoffs.setdefault((name, engine), []).append((self.now_s, until_s))
-        said = events.ServerNoticed(engine, action.request_id, backoff_until_s=until_s)
-        self.feed(name, said)
+        self.reported_backoffs.setdefault((name, engine), []).append((self.now_s, until_s))
+        notice = events.ServerNoticed(engine, action.request_id, backoff_until_s=until_s)
+        self.feed(name, notice)
         self.feed(name, events.RunNotStarted(action.request_id, RetryReason.SERVER_BACKED_OFF))
 
     def end_engine(self, engine: str) -> None:
-        """End an engine with all that it runs; it is back after a while."""
+        """End an engine with all that it runs; it restarts after ``ENGINE_DOWN_S``."""
         self.ended_at_s.append(self.now_s)
         self.broken_engines.add(engine)
-        self.at(self.now_s + BACK_AFTER_S, lambda: self.broken_engines.discard(engine))
+        self.at(self.now_s + ENGINE_DOWN_S, lambda: self.broken_engines.discard(engine))
         for request_id, run in self.engine_runs.pop(engine, {}).items():
             self.outcomes[request_id].running = False
-            if self.alive.get(run.entry) is not run.core:
+            if self.alive.get(run.ingress) is not run.core:
                 continue
             fingerprint = run.request.fingerprint
             ended = events.ServerEndedInRun(fingerprint, engine, run.began_s, self.now_s)
-            self.feed(run.entry, ended)
-            self.at(self.now_s + NOTICE_S, partial(self._give_back, run))
+            self.feed(run.ingress, ended)
+            self.at(self.now_s + END_DETECTION_S, partial(self._report_broken_run, run))
 
-    def _give_back(self, run: EngineRun) -> None:
-        if self.alive.get(run.entry) is run.core:
+    def _report_broken_run(self, run: EngineRun) -> None:
+        if self.alive.get(run.ingress) is run.core:
             request_id = run.request.request_id
-            self.feed(run.entry, events.RunNotStarted(request_id, RetryReason.ANSWER_BROKEN))
+            self.feed(run.ingress, events.RunNotStarted(request_id, RetryReason.ANSWER_BROKEN))
 
-    def _end_by(self, run: EngineRun, engine: str) -> None:
-        if self._is_at(run, engine):
+    def _end_engine_by(self, run: EngineRun, engine: str) -> None:
+        if self._is_running(run, engine):
             self.end_engine(engine)
 
-    def _is_at(self, run: EngineRun, engine: str) -> bool:
-        """Tell whether a run has neither ended nor broken off."""
+    def _is_running(self, run: EngineRun, engine: str) -> bool:
+        """Return whether a run has neither ended nor been broken off."""
         return self.engine_runs.get(engine, {}).get(run.request.request_id) is run
 
-    def _begin(self, run: EngineRun, engine: str, unread: int) -> None:
+    def _begin_answer(self, run: EngineRun, engine: str, unread: int) -> None:
         self.unread_tokens[engine] -= unread
-        if self.alive.get(run.entry) is run.core and self._is_at(run, engine):
+        if self.alive.get(run.ingress) is run.core and self._is_running(run, engine):
             if engine in self.leaving_engines:
-                self.told_leaving_s.setdefault((run.entry, engine), self.now_s)
-                said = events.ServerNoticed(engine, run.request.request_id, leaving=True)
-                self.feed(run.entry, said)
-            self.feed(run.entry, events.ServiceObserved(run.request.request_id, 1.0))
+                self.leaving_reported_at_s.setdefault((run.ingress, engine), self.now_s)
+                notice = events.ServerNoticed(engine, run.request.request_id, leaving=True)
+                self.feed(run.ingress, notice)
+            self.feed(run.ingress, events.ServiceObserved(run.request.request_id, 1.0))
 
-    def _end(self, run: EngineRun, engine: str) -> None:
-        if not self._is_at(run, engine):
+    def _complete_run(self, run: EngineRun, engine: str) -> None:
+        if not self._is_running(run, engine):
             return
         request_id = run.request.request_id
         del self.engine_runs[engine][request_id]
-        if self.alive.get(run.entry) is run.core:
+        if self.alive.get(run.ingress) is run.core:
             outcome = self.outcomes[request_id]
             outcome.running = False
             outcome.ended_at_s = self.now_s
-            self.feed(run.entry, events.RunEnded(request_id, 100.0, completed=True))
+            self.feed(run.ingress, events.RunEnded(request_id, 100.0, completed=True))
--- a/tests/standins/network.py
+++ b/tests/standins/network.py
@@ -1,4 +1,4 @@
-"""Ports, plain requests and waiting, for everything that tests start."""
+"""Ports, HTTP requests and polling for the processes that tests start."""
 
 import socket
 import time
@@ -10,34 +10,34 @@
 START_WAIT_S = 60.0
 POLL_S = 0.02
 
-_HELD_PORTS: list[socket.socket] = []
+_RESERVED_PORTS: list[socket.socket] = []
 _HTTP = urllib3.PoolManager(maxsize=64, retries=False)
 
 
 def free_ports(count: int) -> list[int]:
-    """Ask the OS for ports, and keep them from being given to anyone else.
+    """Reserve free ports until this process ends.
 
-    A socket stays bound to each, without listening, until this process ends: one
-    that was closed again could be given to a connection or to the next asker, as
-    happened with eight routers.
+    A socket stays bound to each port without listening: the OS may give a port that is
+    closed again to another connection or to the next caller, as happened in tests with
+    eight routers.
     """
     ports = []
     for _ in range(count):
-        held = socket.socket()
-        held.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        held.bind(("127.0.0.1", 0))
-        _HELD_PORTS.append(held)
-        ports.append(held.getsockname()[1])
+        reserved = socket.socket()
+        reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        reserved.bind(("127.0.0.1", 0))
+        _RESERVED_PORTS.append(reserved)
+        ports.append(reserved.getsockname()[1])
     return ports
 
 
 def wait_for(is_true: Callable[[], Any], what: str, wait_s: float = START_WAIT_S) -> Any:
-    """Wait until something is observed; fail when it is not in time."""
+    """Poll until ``is_true`` returns something true, and return that; fail after ``wait_s``."""
     deadline_s = time.monotonic() + wait_s
     while time.monotonic() < deadline_s:
-        seen = is_true()
-        if seen:
-            return seen
+        found = is_true()
+        if found:
+            return found
         time.sleep(POLL_S)
     raise AssertionError(f"waited {wait_s} s in vain for {what}")
 
@@ -55,7 +55,7 @@
 
 
 def get_json(address: str, path: str) -> Any:
-    """Read JSON, which must be there."""
+    """Return a JSON document; fail when nothing answers."""
     answer = http("GET", address, path)
     assert answer is not None, f"nothing answers at {address}{path}"
     return answer.json()
--- a/tests/steps/clock_steps.py
+++ b/tests/steps/clock_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the clock: suspended for real is nothing a test can be, so its clock is moved."""
+"""Steps of the clock. A test cannot suspend its machine, so it sets the clock forward."""
 
 import random
 import re
@@ -24,7 +24,7 @@
 from myrtlehook_router.request.tickets import TicketRegistry
 
 ROOT = Path(__file__).parent.parent.parent
-STEADY = re.compile(r"monotonic\(|perf_counter\(|CLOCK_")
+STEADY_CLOCK_CALL = re.compile(r"monotonic\(|perf_counter\(|CLOCK_")
 
 
 def _read_clock(context: Any) -> float:
@@ -33,8 +33,8 @@
 
 @given("a router with a request whose deadline is {seconds:d} seconds away")
 def start_router(context: Any, seconds: int) -> None:
-    real = clocks.now_s
-    context.add_cleanup(lambda: setattr(clocks, "now_s", real))
+    real_now_s = clocks.now_s
+    context.add_cleanup(lambda: setattr(clocks, "now_s", real_now_s))
     context.clock_s = 100.0
     clocks.now_s = lambda: _read_clock(context)
     core = RouterCore(RouterIdentity("r0", "r0", 1), CoreOptions(), random.Random(1).random)
@@ -72,13 +72,13 @@
 def check_one_clock(context: Any) -> None:
     sources = [*ROOT.glob("packages/*/src/**/*.py"), *ROOT.glob("platform/src/**/*.py")]
     assert len(sources) > 100, sources
-    found = {path.name for path in sources if STEADY.search(path.read_text())}
+    found = {path.name for path in sources if STEADY_CLOCK_CALL.search(path.read_text())}
     assert found == {"clocks.py"}, found
 
 
-@then("the clock goes with the system's boot clock")
+@then("the clock agrees with the system's boot clock")
 def check_boot_clock(context: Any) -> None:
     assert hasattr(time, "CLOCK_BOOTTIME") == clocks.COUNTS_SUSPENSION
     before_s = time.clock_gettime(time.CLOCK_BOOTTIME)
-    seen_s = clocks.now_s()
-    assert before_s <= seen_s <= time.clock_gettime(time.CLOCK_BOOTTIME)
+    read_s = clocks.now_s()
+    assert before_s <= read_s <= time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/tests/steps/copied_store_property_steps.py
+++ b/tests/steps/copied_store_property_steps.py
@@ -1,4 +1,4 @@
-"""Properties of a source that comes back from a copy of its own."""
+"""Properties of a source that is restored from a copy."""
 
 import random
 from typing import Any
@@ -35,19 +35,24 @@
 
 OPTIONS = CoreOptions(source_readers=2)
 UNSHRUNK = (Phase.explicit, Phase.generate)
+"""A failing history is not shrunk: a smaller seed gives no simpler history."""
+
 HISTORIES = 15
 SETTLE_S = 9.0
-"""More than a server is doubted, and news of the end takes."""
+"""Longer than the hold-off of restored servers and the spread of the last changes."""
 
 CHANGES = 10
 CALLS = 40
 
 
-def _server(name: str) -> BackendServer:
+def _make_server(name: str) -> BackendServer:
     return BackendServer(name, POOL, "10.0.1.1:80", "z", 1, False, False)
 
 
-@then("in any history with copies, all routers end with what is published, and none goes back")
+@then(
+    "in any history with copies, all routers end with what is published, and none returns"
+    " to an older configuration"
+)
 def check_histories(context: Any) -> None:
     @settings(max_examples=HISTORIES, phases=UNSHRUNK)
     @drawn(st.integers(0, 10**6), st.sampled_from([0.0, 0.2]), st.integers(2, 5))
@@ -56,19 +61,19 @@
         source.put("first")
         history = History(seed, routers, 0, Network(lost_part, 0.1, 0.05), OPTIONS, source)
         draw = random.Random(seed)
-        lives: dict[int, int] = {}
+        highest_numbers: dict[int, int] = {}
         highest = 1
         for number in range(CHANGES):
             history.run_until(history.now_s + draw.random() * 1.5)
             highest = max(highest, source.configuration_number)
-            _change(history, source, draw, number, highest)
-            _check_versions(history, lives)
+            _apply_random_change(history, source, draw, number, highest)
+            _check_versions(history, highest_numbers)
         source.silent_to.clear()
         source.configuration_number = highest + 10
         source.put("last")
         for _ in range(int(SETTLE_S / 0.5)):
             history.run_until(history.now_s + 0.5)
-            _check_versions(history, lives)
+            _check_versions(history, highest_numbers)
         for name, core in history.alive.items():
             known = core.configuration
             assert known.backend_servers == source.servers, (name, known.backend_servers, source)
@@ -77,7 +82,7 @@
     check()
 
 
-def _change(
+def _apply_random_change(
     history: History, source: Source, draw: random.Random, number: int, highest: int
 ) -> None:
     kind = draw.choice(["copy", "return", "return", "put", "drop", "number", "restart", "silent"])
@@ -99,38 +104,40 @@
         source.silent_to.add(router)
 
 
-def _check_versions(history: History, lives: dict[int, int]) -> None:
-    """Check that no life of a router has gone back to an earlier configuration."""
+def _check_versions(history: History, highest_numbers: dict[int, int]) -> None:
+    """Check that no router has returned to an earlier configuration since its start."""
     for core in history.alive.values():
         number = core.configuration.version.number
-        life = core.identity.incarnation
-        assert number >= lives.get(life, 0), f"{number} after {lives[life]}"
-        lives[life] = number
+        incarnation = core.identity.incarnation
+        assert number >= highest_numbers.get(incarnation, 0), (
+            f"{number} after {highest_numbers[incarnation]}"
+        )
+        highest_numbers[incarnation] = number
 
 
 class ScriptedStore(Store):
-    """A reader before a store that is played here; some answers are of a lagging replica."""
+    """A client of a simulated store, some of whose answers come from a lagging replica."""
 
     def __init__(self, draw: random.Random) -> None:
         super().__init__("10.0.0.1:80", Counters(None), ReadSwitch(True))
         self.draw = draw
         self.era, self.revision = 1, 3
         self.items = {"servers/a": 1, "servers/b": 2, "servers/c": 3}
-        self.copied: tuple[dict[str, int], int] = ({}, 0)
+        self.saved_copy: tuple[dict[str, int], int] = ({}, 0)
         self.history: list[tuple[int, str, bool]] = []
-        self.before: tuple[int, int, dict[str, int]] = (1, 3, dict(self.items))
-        """What a lagging replica still answers."""
+        self.replica_state: tuple[int, int, dict[str, int]] = (1, 3, dict(self.items))
+        """Era, revision and items that a lagging replica still returns."""
         self.lags = True
 
     def change(self) -> None:
-        """Change something at the store, or let it come back from a copy."""
-        self.before = (self.era, self.revision, dict(self.items))
+        """Change an item of the store, save a copy of the store or restore that copy."""
+        self.replica_state = (self.era, self.revision, dict(self.items))
         kind = self.draw.choice(["put", "put", "drop", "copy", "return"])
         key = f"servers/{self.draw.choice('abcdef')}"
         if kind == "copy":
-            self.copied = (dict(self.items), self.revision)
+            self.saved_copy = (dict(self.items), self.revision)
         elif kind == "return":
-            items, self.revision = self.copied
+            items, self.revision = self.saved_copy
             self.items = dict(items)
             self.history = [change for change in self.history if change[0] <= self.revision]
             self.era += 1
@@ -147,7 +154,7 @@
         if name == "kv-range":
             era, revision, items = self.era, self.revision, self.items
             if self.lags and self.draw.random() < 0.3:
-                era, revision, items = self.before
+                era, revision, items = self.replica_state
             entries = [
                 {"PrivateKey": key, "Value": "", "Revision": written}
                 for key, written in items.items()
@@ -156,15 +163,18 @@
         after = int(query["After"])
         if after > self.revision:
             return Err(StoreFailure("status 410", history_gone=True, era=self.era))
-        changes = {key: gone for written, key, gone in self.history if written > after}
-        told = [
-            {"PrivateKey": key, "gone": True} if gone else {"PrivateKey": key, "Value": ""}
-            for key, gone in changes.items()
+        changes = {key: removed for written, key, removed in self.history if written > after}
+        watch_events = [
+            {"PrivateKey": key, "gone": True} if removed else {"PrivateKey": key, "Value": ""}
+            for key, removed in changes.items()
         ]
-        return Ok(StoreAnswer(self.era, {"events": told, "at": self.revision}))
+        return Ok(StoreAnswer(self.era, {"events": watch_events, "at": self.revision}))
 
 
-@then("in any history of calls a reader ends with the store's content, and its order only rises")
+@then(
+    "in any history of calls a reader ends with the store's content, and its source order"
+    " only rises"
+)
 def check_reader(context: Any) -> None:
     @settings(max_examples=200)
     @drawn(st.integers(0, 10**6))
@@ -176,12 +186,12 @@
             store.lags = number < CALLS - 4
             if store.lags and store.draw.random() < 0.5:
                 store.change()
-            taken = store._take(followed, loaded)
+            outcome = store._take(followed, loaded)
             assert followed.order >= order, f"{followed.order} after {order}"
             order = followed.order
-            if isinstance(taken, Ok):
+            if isinstance(outcome, Ok):
                 loaded = True
-            elif taken.err_value.new_era or taken.err_value.history_gone:
+            elif outcome.err_value.new_era or outcome.err_value.history_gone:
                 loaded = False
         assert followed.order == SourceOrder(store.era, store.revision), followed.order
         assert followed.items.keys() == store.items.keys(), (followed.items, store.items)
@@ -189,69 +199,73 @@
     check()
 
 
-def _usable(context: Any, now_s: float) -> set[str]:
+def _find_usable(context: Any, now_s: float) -> set[str]:
     expire_deadlines(context.discovery, now_s)
     base = Configuration(ConfigurationVersion(1, ""))
     servers = apply_discovery(base, context.discovery).backend_servers
     return {name for name, server in servers.items() if not server.leaving}
 
 
-@given('a router that knows servers "a" and "b", and that "c" has gone')
+@given('a router that knows servers "a" and "b", and that "c" was removed')
 def know_servers(context: Any) -> None:
     context.discovery = Discovery()
-    everything = [_server(name) for name in "abc"]
-    apply_server_list(context.discovery, everything, False, 0.0, SourceOrder(1, 10))
-    apply_server_list(context.discovery, everything[:2], False, 1.0, SourceOrder(1, 11))
+    servers = [_make_server(name) for name in "abc"]
+    apply_server_list(context.discovery, servers, False, 0.0, SourceOrder(1, 10))
+    apply_server_list(context.discovery, servers[:2], False, 1.0, SourceOrder(1, 11))
 
 
-@when('the store comes back from a copy with "a" and "c"')
-def take_copy(context: Any) -> None:
-    copied = [_server("a"), _server("c")]
+@when('the store is restored from a copy with "a" and "c"')
+def apply_restored_list(context: Any) -> None:
+    copied = [_make_server("a"), _make_server("c")]
     assert apply_server_list(context.discovery, copied, False, 10.0, SourceOrder(2, 5))
 
 
 @then('"b" is used for 2 s more, and "c" is not used for 6 s')
-def check_moment(context: Any) -> None:
+def check_grace_and_holdoff(context: Any) -> None:
     assert (RETURN_GRACE_S, RESTORED_HOLDOFF_S) == (2.0, 6.0)
-    assert _usable(context, 11.9) == {"a", "b"}
-    assert _usable(context, 12.0) == {"a"}
-    assert _usable(context, 15.9) == {"a"}
+    assert _find_usable(context, 11.9) == {"a", "b"}
+    assert _find_usable(context, 12.0) == {"a"}
+    assert _find_usable(context, 15.9) == {"a"}
 
 
 @when('"c" is still there after 6 s')
-def keep_third(context: Any) -> None:
-    copied = [_server("a"), _server("c")]
+def list_restored_server(context: Any) -> None:
+    copied = [_make_server("a"), _make_server("c")]
     apply_server_list(context.discovery, copied, False, 15.95, SourceOrder(2, 7))
 
 
 @then('"c" is used again')
-def check_third(context: Any) -> None:
-    assert _usable(context, 16.0) == {"a", "c"}
+def check_restored_server(context: Any) -> None:
+    assert _find_usable(context, 16.0) == {"a", "c"}
 
 
 @then("lists of an earlier era are refused, however high their revision")
-def check_refused(context: Any) -> None:
+def check_earlier_era_refused(context: Any) -> None:
     discovery = Discovery()
-    apply_server_list(discovery, [_server("a")], False, 0.0, SourceOrder(2, 5))
-    assert not apply_server_list(discovery, [_server("b")], False, 1.0, SourceOrder(1, 900))
-    late = ServerChanges(SourceOrder(1, 900), True, (_server("b"),), frozenset(), ())
+    apply_server_list(discovery, [_make_server("a")], False, 0.0, SourceOrder(2, 5))
+    assert not apply_server_list(discovery, [_make_server("b")], False, 1.0, SourceOrder(1, 900))
+    late = ServerChanges(SourceOrder(1, 900), True, (_make_server("b"),), frozenset(), ())
     assert not apply_server_changes(discovery, late, False, 1.0)
     assert set(discovery.known) == {"a"}
 
 
-@then("a peer of an earlier era is told the whole list")
-def check_whole(context: Any) -> None:
+@then("a peer of an earlier era is sent the whole list")
+def check_whole_list(context: Any) -> None:
     discovery = Discovery()
-    apply_server_list(discovery, [_server("a"), _server("b")], False, 0.0, SourceOrder(1, 5))
-    apply_server_list(discovery, [_server("a")], False, 1.0, SourceOrder(1, 6))
-    apply_server_list(discovery, [_server("a"), _server("c")], False, 2.0, SourceOrder(2, 4))
+    apply_server_list(
+        discovery, [_make_server("a"), _make_server("b")], False, 0.0, SourceOrder(1, 5)
+    )
+    apply_server_list(discovery, [_make_server("a")], False, 1.0, SourceOrder(1, 6))
+    apply_server_list(
+        discovery, [_make_server("a"), _make_server("c")], False, 2.0, SourceOrder(2, 4)
+    )
     changes = collect_server_changes(discovery, SourceOrder(1, 900))
     assert changes.whole and not changes.gone
     assert {server.name for server in changes.servers} == {"a", "c"}, changes
 
 
-@then("a range of an earlier era than a watch has shown is refused")
-def check_mixed(context: Any) -> None:
+@then("a range answer of an earlier era than a watch has reported is refused")
+def check_stale_range(context: Any) -> None:
     store = ScriptedStore(random.Random(1))
     store.lags = False
     followed = Followed()
--- a/tests/steps/entry_steps.py
+++ b/tests/steps/entry_steps.py
@@ -1,4 +1,4 @@
-"""Steps of servers' entries: any bytes, any field, and starts under the same id."""
+"""Steps of servers' entries in the store: invalid ones, and restarts under the same id."""
 
 import base64
 import json
@@ -24,7 +24,7 @@
 from standins.network import wait_for
 from standins.pools import make_request
 
-SOUND = {
+VALID_ENTRY = {
     "Service": "model",
     "Address": "10.0.0.1:8080",
     "Zone": "z",
@@ -35,17 +35,17 @@
     "SequenceNumber": 4,
     "born": 1_700_000_000_000,
 }
-ANYTHING = st.recursive(
+ANY_JSON_VALUE = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats(allow_nan=False) | st.text(max_size=5),
     lambda inner: st.lists(inner, max_size=2) | st.dictionaries(st.text(max_size=3), inner),
     max_leaves=4,
 )
-FIELDS = sorted(SOUND)
+FIELDS = sorted(VALID_ENTRY)
 
 
 @when("the entry of a server has {name} as {value}")
-def spoil_entry(context: Any, name: str, value: str) -> None:
-    entry = dict(SOUND)
+def read_changed_entry(context: Any, name: str, value: str) -> None:
+    entry = dict(VALID_ENTRY)
     if value == "missing":
         del entry[name]
     else:
@@ -53,62 +53,62 @@
     context.read = read_server("servers/i-1", json.dumps(entry))
 
 
-@then('it names no server, and the fault tells "{told}"')
-def check_fault(context: Any, told: str) -> None:
+@then('it defines no server, and the fault mentions "{text}"')
+def check_fault(context: Any, text: str) -> None:
     assert isinstance(context.read, Err), context.read
     fault = context.read.err_value
     assert fault.key == "servers/i-1"
-    assert told in fault.expected or told in fault.seen, fault
+    assert text in fault.expected or text in fault.seen, fault
 
 
-@then("of any page of 50 entries of which some were spoilt, just the sound ones name servers")
+@then("of any page of 50 entries of which some are corrupted, only the valid ones define servers")
 def check_page(context: Any) -> None:
-    spoilt = st.one_of(
+    corrupted_value = st.one_of(
         st.binary(max_size=20).map(lambda raw: base64.b64encode(raw).decode()),
         st.sampled_from(["no base64!", 7, None, {}]),
-        st.tuples(st.sampled_from(FIELDS), ANYTHING).map(_spoil),
+        st.tuples(st.sampled_from(FIELDS), ANY_JSON_VALUE).map(_encode_changed_entry),
     )
 
-    @drawn(st.dictionaries(st.integers(0, 49), spoilt, max_size=20))
-    def check(faulty: dict[int, Any]) -> None:
+    @drawn(st.dictionaries(st.integers(0, 49), corrupted_value, max_size=20))
+    def check(corrupted: dict[int, Any]) -> None:
         followed = Followed(whole=True, order=SourceOrder(0, 3))
         for number in range(50):
-            value = faulty.get(number, _encode(SOUND))
+            value = corrupted.get(number, _encode(VALID_ENTRY))
             followed.items[f"servers/i-{number}"] = _decode({"Value": value})
         found = _read_servers(followed, Counters(None))
         names = {server.instance for server in found.servers}
-        sound = {f"i-{number}" for number in range(50) if number not in faulty}
-        assert sound <= names, sound - names
-        extra = names - sound
-        assert all(_is_sound(followed.items[f"servers/{name}"]) for name in extra), extra
+        valid = {f"i-{number}" for number in range(50) if number not in corrupted}
+        assert valid <= names, valid - names
+        extra = names - valid
+        assert all(_is_still_valid(followed.items[f"servers/{name}"]) for name in extra), extra
 
     check()
 
 
-def _spoil(change: tuple[str, Any]) -> str:
-    return _encode({**SOUND, change[0]: change[1]})
+def _encode_changed_entry(change: tuple[str, Any]) -> str:
+    return _encode({**VALID_ENTRY, change[0]: change[1]})
 
 
 def _encode(entry: dict[str, Any]) -> str:
     return base64.b64encode(json.dumps(entry).encode()).decode()
 
 
-def _is_sound(text: str) -> bool:
-    """Tell whether a changed entry is one that a server could write after all."""
+def _is_still_valid(text: str) -> bool:
+    """Return whether a changed entry is one that a server may write."""
     entry = json.loads(text)
-    changed = [name for name in FIELDS if entry.get(name) != SOUND[name]]
-    kinds = [type(entry[name]) is type(SOUND[name]) for name in changed]
-    return all(kinds) or changed == ["ColdRemainingMs"]
+    changed = [name for name in FIELDS if entry.get(name) != VALID_ENTRY[name]]
+    same_types = [type(entry[name]) is type(VALID_ENTRY[name]) for name in changed]
+    return all(same_types) or changed == ["ColdRemainingMs"]
 
 
-def _server(born_ms: int) -> BackendServer:
-    read = read_server("servers/i-1", json.dumps({**SOUND, "born": born_ms}))
+def _make_server(born_ms: int) -> BackendServer:
+    read = read_server("servers/i-1", json.dumps({**VALID_ENTRY, "born": born_ms}))
     assert isinstance(read, Ok), read
     return read.ok_value
 
 
-@given("a server that runs requests, is ejected and keeps parts of prompts")
-def start_history(context: Any) -> None:
+@given("a server that is ejected and has been sent parts of prompts")
+def start_ejected_server(context: Any) -> None:
     source = Source()
     context.source = source
     context.first = "e1@1000"
@@ -122,15 +122,15 @@
     core.admissions.recent_parts[context.first] = {}
 
 
-@when("it starts again under the id that it had")
-def start_again(context: Any) -> None:
+@when("it restarts under the same id")
+def restart_server(context: Any) -> None:
     context.source.drop(context.first)
     context.second = "e1@2000"
     context.source.put(context.second)
     context.history.run_until(3.0)
 
 
-@then("nothing that was believed of the earlier start holds")
+@then("no state of the earlier start is left")
 def check_forgotten(context: Any) -> None:
     core = next(iter(context.history.alive.values()))
     assert list(core.engine_queues.loads) == [context.second], core.engine_queues.loads
@@ -138,37 +138,37 @@
     assert context.first not in core.admissions.recent_parts
 
 
-@then("the next request goes to the new start, which is named by its id")
+@then("the next request goes to the new start, which has the same id")
 def check_new_start(context: Any) -> None:
     history = context.history
     request = make_request("r1", "a", 1, 200, history.now_s, False)
     history.ask(next(iter(history.alive)), request)
     history.run_until(history.now_s + 1.0)
     assert history.outcomes["r1"].dispatched == [context.second]
-    assert _server(1000).instance == _server(2000).instance == "i-1"
-    assert _server(1000).name != _server(2000).name
+    assert _make_server(1000).instance == _make_server(2000).instance == "i-1"
+    assert _make_server(1000).name != _make_server(2000).name
 
 
 @when("a peer's whole list after an outage has another start of a server")
 def peer_list_after_outage(context: Any) -> None:
     context.discovery = Discovery()
-    apply_server_list(context.discovery, [_server(1000)], False, 1.0, order=SourceOrder(0, 5))
-    changes = ServerChanges(SourceOrder(0, 6), True, (_server(2000),), frozenset(), ())
+    apply_server_list(context.discovery, [_make_server(1000)], False, 1.0, order=SourceOrder(0, 5))
+    changes = ServerChanges(SourceOrder(0, 6), True, (_make_server(2000),), frozenset(), ())
     apply_server_changes(context.discovery, changes, True, 2.0)
 
 
 @when("a list after an outage has another start of a server")
 def list_after_outage(context: Any) -> None:
     context.discovery = Discovery()
-    apply_server_list(context.discovery, [_server(1000)], False, 1.0, order=SourceOrder(0, 5))
-    apply_server_list(context.discovery, [_server(2000)], True, 2.0, order=SourceOrder(0, 6))
+    apply_server_list(context.discovery, [_make_server(1000)], False, 1.0, order=SourceOrder(0, 5))
+    apply_server_list(context.discovery, [_make_server(2000)], True, 2.0, order=SourceOrder(0, 6))
 
 
 @when("a list with an earlier start comes late")
 def list_late(context: Any) -> None:
     context.discovery = Discovery()
-    apply_server_list(context.discovery, [_server(2000)], False, 1.0, order=SourceOrder(0, 6))
-    apply_server_list(context.discovery, [_server(1000)], False, 2.0, order=SourceOrder(0, 5))
+    apply_server_list(context.discovery, [_make_server(2000)], False, 1.0, order=SourceOrder(0, 6))
+    apply_server_list(context.discovery, [_make_server(1000)], False, 2.0, order=SourceOrder(0, 5))
 
 
 @then("only the new start is known")
@@ -185,9 +185,9 @@
             send(context.nodes.nodes[number % 2], "POST", "/summary/week", headers, b"sound")
         servers = context.nodes.describe()["servers"]
         runs = {name: len(found["runs"]) for name, found in servers.items()}
-        before = getattr(context, "runs", {})
+        runs_before = getattr(context, "runs", {})
         engines = [name for name in runs if name.startswith("i-engine")]
-        if any(runs[name] <= before.get(name, 0) for name in engines):
+        if any(runs[name] <= runs_before.get(name, 0) for name in engines):
             return False
         context.runs = runs
         return True
@@ -195,7 +195,7 @@
     wait_for(served, "each engine to serve")
 
 
-@when("every engine ends, and starts again under its id")
+@when("every engine ends, and restarts under its id")
 def end_every_engine(context: Any) -> None:
     context.nodes.order(faults={"engines": {"keeps_id": True, "back_after_s": 0.3}})
     engines = [name for name in context.nodes.describe()["servers"] if name.startswith("i-engine")]
--- a/tests/steps/evacuation_steps.py
+++ b/tests/steps/evacuation_steps.py
@@ -1,11 +1,10 @@
-"""Steps of availability zones that are evacuated and taken back."""
+"""Steps of the evacuation of availability zones."""
 
 import time
 from collections import Counter
 from typing import Any
 
-from behave import given as before
-from behave import then, when
+from behave import given, then, when
 from cold_engine_steps import BOUND, COLD_S, LAST_S, TOKENS, find_most_sent
 from server_notice_steps import find_busiest, send_for
 from zone_steps import run_until_holds
@@ -13,13 +12,13 @@
 from myrtlehook_platform.evacuations import read_evacuated
 from standins.histories import RATE_TOKENS_PER_S, History
 
-HEARD_S = 0.05
-"""A grant that was given before the news may be used this long after it."""
+GRANT_USE_S = 0.05
+"""A grant from before the evacuation may still be used for this long."""
 
-SENT_AFTER_S = 1.0
+SEND_DELAY_S = 1.0
 PATH = "/diagnosis/a"
-OTHERS_MOVED = 2
-"""The routers' own zone keeps too few engines to be asked before the home of all."""
+OTHER_ENGINES_MOVED = 2
+"""Leaves the routers' own zone too few engines for a home engine in the zone."""
 
 
 @when('zone "{zone}" is evacuated from {start_s:g} s to {end_s:g} s')
@@ -42,28 +41,30 @@
 
 
 @then("its engines get nothing in between, and what ran there ends well")
-def check_nothing(context: Any) -> None:
+def check_no_requests(context: Any) -> None:
     history: History = context.history
-    sent = _count_sent(context, context.from_s + HEARD_S, context.to_s)
+    sent = _count_sent(context, context.from_s + GRANT_USE_S, context.to_s)
     assert not sent[True] and sent[False], sent
-    assert _count_sent(context, 1.0, context.from_s)[True], "got nothing before either"
+    assert _count_sent(context, 1.0, context.from_s)[True], (
+        "got no requests before the evacuation either"
+    )
     for request_id, outcome in history.outcomes.items():
-        was_there = outcome.dispatched_at_s and outcome.dispatched_at_s[0] < context.from_s
-        if was_there:
+        was_sent_before = outcome.dispatched_at_s and outcome.dispatched_at_s[0] < context.from_s
+        if was_sent_before:
             assert outcome.ended_at_s is not None, request_id
 
 
-@then("the engines of the other zones read at least {part:g} of what they can")
-def check_others(context: Any, part: float) -> None:
+@then("the engines of the other zones read at least {fraction:g} of the tokens that they can")
+def check_others(context: Any, fraction: float) -> None:
     sent = _count_sent(context, context.from_s, context.to_s)[False]
     zones = [server.availability_zone for server in context.history.servers]
     engines = sum(zone != context.zone for zone in zones)
-    able = engines * RATE_TOKENS_PER_S * (context.to_s - context.from_s)
-    assert sent * TOKENS >= part * able, (sent * TOKENS, able)
+    possible_tokens = engines * RATE_TOKENS_PER_S * (context.to_s - context.from_s)
+    assert sent * TOKENS >= fraction * possible_tokens, (sent * TOKENS, possible_tokens)
 
 
-@then("in the 3 s after it is taken back none of its engines gets more than {most:d} requests in "
-      "a second")  # fmt: skip
+@then("in the 3 s after its evacuation ends none of its engines gets more than {most:d} "
+      "requests in a second")  # fmt: skip
 def check_paced(context: Any, most: int) -> None:
     end_s = context.to_s + COLD_S
     for server in context.history.servers:
@@ -80,21 +81,21 @@
     context.zone = zone
 
 
-@when('zone "{zone}" is taken back in the source')
-def take_back_in_source(context: Any, zone: str) -> None:
+@when('the evacuation of zone "{zone}" ends in the source')
+def end_evacuation_in_source(context: Any, zone: str) -> None:
     source = context.history._source
     source.silent_to.clear()
     source.evacuate(*(source.evacuated_zones - {zone}))
 
 
-@when("the source comes back from a copy of before that")
-def return_source(context: Any) -> None:
+@when("the source is restored from a copy made before")
+def restore_source(context: Any) -> None:
     source = context.history._source
     source.return_from_copy()
     source.evacuated_zones = frozenset()
 
 
-@when("a router starts anew")
+@when("a router restarts")
 def restart_router(context: Any) -> None:
     history: History = context.history
     name = list(history.alive)[3]
@@ -110,41 +111,41 @@
 
 
 @when("a router is cut off from all others and from the source")
-def cut_router(context: Any) -> None:
+def isolate_router(context: Any) -> None:
     history: History = context.history
-    lost = list(history.alive)[5]
-    history.is_cut = lambda sender, receiver: lost in (sender, receiver)
-    history._source.silent_to.add(lost)
+    isolated = list(history.alive)[5]
+    history.is_cut = lambda sender, receiver: isolated in (sender, receiver)
+    history._source.silent_to.add(isolated)
 
 
-@when("it is cut off no more")
-def heal_router(context: Any) -> None:
+@when("it is connected again")
+def reconnect_router(context: Any) -> None:
     context.history.is_cut = lambda sender, receiver: False
     context.history._source.silent_to.clear()
 
 
-@when("{seconds:g} s go by")
-def wait_on(context: Any, seconds: float) -> None:
+@when("{seconds:g} s pass")
+def wait_seconds(context: Any, seconds: float) -> None:
     context.history.run_until(context.history.now_s + seconds)
 
 
-def _all_hold(context: Any, zones: frozenset[str]) -> bool:
+def _all_consider_evacuated(context: Any, zones: frozenset[str]) -> bool:
     cores = context.history.alive.values()
     return all(core.discovery.evacuated_zones == zones for core in cores)
 
 
-@then("within {seconds:g} s every router holds it to be evacuated")
+@then("within {seconds:g} s every router considers it evacuated")
 def wait_evacuated(context: Any, seconds: float) -> None:
     zones = frozenset({context.zone})
-    run_until_holds(context, seconds, lambda: _all_hold(context, zones))
+    run_until_holds(context, seconds, lambda: _all_consider_evacuated(context, zones))
 
 
-@then("within {seconds:g} s every router holds none to be evacuated")
+@then("within {seconds:g} s every router considers no zone evacuated")
 def wait_none(context: Any, seconds: float) -> None:
-    run_until_holds(context, seconds, lambda: _all_hold(context, frozenset()))
+    run_until_holds(context, seconds, lambda: _all_consider_evacuated(context, frozenset()))
 
 
-@before("a store with the keys {keys}")
+@given("a store with the keys {keys}")
 def name_keys(context: Any, keys: str) -> None:
     context.keys = keys.split(", ")
 
@@ -155,29 +156,31 @@
     assert read_evacuated(context.keys) == expected, context.keys
 
 
-@before('a site whose busiest engine and two others stand in zone "{zone}"')
-def place_engine(context: Any, zone: str) -> None:
+@given('a site whose busiest engine and two others are in zone "{zone}"')
+def place_engines(context: Any, zone: str) -> None:
     busiest = find_busiest(context, "engine", PATH)
     engines = [name for name in context.nodes.addresses if name.startswith("i-engine")]
-    others = [name for name in engines if name != busiest][:OTHERS_MOVED]
+    others = [name for name in engines if name != busiest][:OTHER_ENGINES_MOVED]
     context.moved = (busiest, *others)
     context.nodes.order(zones=dict.fromkeys(context.moved, zone))
 
 
 def _send_after_change(context: Any, seconds: float) -> None:
-    time.sleep(SENT_AFTER_S)
+    time.sleep(SEND_DELAY_S)
     context.sent_from_s = time.monotonic()
     context.sent = send_for(context, PATH, seconds)
 
 
-@when('zone "{zone}" is evacuated there, and callers send for {seconds:g} s after a second')
+@when('zone "{zone}" is evacuated there, and a second later clients send for {seconds:g} s')
 def evacuate_site(context: Any, zone: str, seconds: float) -> None:
     context.nodes.order(evacuate=[zone])
     _send_after_change(context, seconds)
 
 
-@when('zone "{zone}" is taken back there, and callers send for {seconds:g} s after a second')
-def take_back_site(context: Any, zone: str, seconds: float) -> None:
+@when(
+    'the evacuation of zone "{zone}" ends there, and a second later clients send for {seconds:g} s'
+)
+def end_site_evacuation(context: Any, zone: str, seconds: float) -> None:
     context.nodes.order(take_back=[zone])
     _send_after_change(context, seconds)
 
@@ -193,12 +196,12 @@
     )
 
 
-@then('the servers of zone "{zone}" got none of that, and all were answered')
+@then('the servers of zone "{zone}" got none of the requests, and all were answered')
 def check_got_none(context: Any, zone: str) -> None:
     assert _count_arrived(context) == 0
 
 
-@then('the servers of zone "{zone}" got some of that, and all were answered')
+@then('the servers of zone "{zone}" got some of the requests, and all were answered')
 def check_got_some(context: Any, zone: str) -> None:
     arrived = _count_arrived(context)
     assert arrived > 0, len(context.sent)
--- a/tests/steps/link_steps.py
+++ b/tests/steps/link_steps.py
@@ -1,4 +1,4 @@
-"""Steps of links between routers: in histories, and with the sockets themselves."""
+"""Steps of silent connections between routers, in simulated histories and with real sockets."""
 
 import socket
 import threading
@@ -16,7 +16,7 @@
 
 KEY = "fleet"
 STEP_S = 0.05
-DELIVERED = MembersQuery(MemberRow("r1", "", 1, 0))
+MESSAGE = MembersQuery(MemberRow("r1", "", 1, 0))
 
 
 @given("a fleet of {routers:d} routers that know one another")
@@ -25,46 +25,46 @@
     context.history.run_until(3.0)
 
 
-@when("what one router sends another is lost for good on its present connection")
+@when("all that one router sends another on the present connection is lost")
 def sever(context: Any) -> None:
     history = context.history
     context.link = tuple(list(history.alive)[:2])
-    history.renewed.clear()
-    context.deaths = []
+    history.renewed_links.clear()
+    context.dead_members = []
 
     def is_cut(sender: str, receiver: str) -> bool:
-        _note_deaths(context)
-        return (sender, receiver) == context.link and context.link not in history.renewed
+        _record_dead_members(context)
+        return (sender, receiver) == context.link and context.link not in history.renewed_links
 
     history.is_cut = is_cut
 
 
-def _note_deaths(context: Any) -> None:
+def _record_dead_members(context: Any) -> None:
     for core in context.history.alive.values():
         dead = [
             member.router_id
             for member in core.table.members.values()
             if member.state is MemberState.DEAD and not member.unconfirmed
         ]
-        context.deaths += dead
+        context.dead_members += dead
 
 
-@then("it opens the connection anew within {seconds:d} seconds")
-def check_renewed(context: Any, seconds: int) -> None:
+@then("it reopens the connection within {seconds:d} seconds")
+def check_reopened(context: Any, seconds: int) -> None:
     history = context.history
     end_s = history.now_s + seconds
-    while context.link not in history.renewed:
-        assert history.now_s < end_s, f"{context.link} is not among {history.renewed}"
+    while context.link not in history.renewed_links:
+        assert history.now_s < end_s, f"{context.link} is not among {history.renewed_links}"
         history.run_until(history.now_s + STEP_S)
 
 
-@then("neither takes the other for dead meanwhile")
+@then("no router is considered dead meanwhile")
 def check_alive(context: Any) -> None:
-    assert not context.deaths, context.deaths
+    assert not context.dead_members, context.dead_members
 
 
 class _SeverableLink:
-    """Passes bytes on; what was open when it is severed passes nothing more."""
+    """A TCP relay; connections that are open when it is severed relay nothing more."""
 
     def __init__(self, target_port: int) -> None:
         self._target_port = target_port
@@ -75,7 +75,7 @@
         threading.Thread(target=self._accept, daemon=True).start()
 
     def sever(self) -> None:
-        """Silence all that is open, without a reset."""
+        """Stop relaying on all open connections, without a reset."""
         for pair in self._pairs:
             self.severed.update(pair)
 
@@ -85,20 +85,20 @@
             inner = socket.create_connection(("127.0.0.1", self._target_port))
             self._pairs.append((outer, inner))
             for one, other in ((outer, inner), (inner, outer)):
-                threading.Thread(target=self._carry, args=(one, other), daemon=True).start()
+                threading.Thread(target=self._relay, args=(one, other), daemon=True).start()
 
-    def _carry(self, one: socket.socket, other: socket.socket) -> None:
+    def _relay(self, one: socket.socket, other: socket.socket) -> None:
         try:
             while piece := one.recv(65536):
                 if one in self.severed:
                     continue
                 other.sendall(piece)
         except OSError:
-            # Its router has closed it.
+            # The router has closed its connection.
             return
 
 
-@given("a router that sends to another through a link that has gone silent")
+@given("a router that sends to another through a link that has become silent")
 def start_sockets(context: Any) -> None:
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
@@ -111,14 +111,14 @@
     own: Listener = ListenAddress(address="127.0.0.1", port=0)
     context.sender = PeerSockets("r1", own, KEY, 1, Counters(None))
     context.add_cleanup(context.sender.close)
-    wait_for(lambda: _arrives(context), "a message to arrive on the sound link")
+    wait_for(lambda: _arrives(context), "a message to arrive on the link before it is severed")
     context.link.sever()
-    _take_all(context)
-    assert not _arrives(context), "a message passed a link that has gone silent"
+    _drain_receiver(context)
+    assert not _arrives(context), "a message arrived through a severed link"
 
 
-def _take_all(context: Any) -> None:
-    """Take what was sent before: several may have been until the first one arrived."""
+def _drain_receiver(context: Any) -> None:
+    """Receive earlier messages: several may have been sent until the first one arrived."""
     try:
         while True:
             context.receiver.recv()
@@ -127,7 +127,7 @@
 
 
 def _arrives(context: Any) -> bool:
-    context.sender.send("r2", context.address, (DELIVERED,))
+    context.sender.send("r2", context.address, (MESSAGE,))
     try:
         context.receiver.recv()
     except pynng.Timeout:
@@ -135,8 +135,8 @@
     return True
 
 
-@when("it opens the connection anew")
-def renew(context: Any) -> None:
+@when("it reopens the connection")
+def reopen(context: Any) -> None:
     context.sender.renew_connection(context.address)
 
 
--- a/tests/steps/network_property_steps.py
+++ b/tests/steps/network_property_steps.py
@@ -1,4 +1,4 @@
-"""Steps that run hypothesis properties on several cores over a faulty network."""
+"""Properties of several decision cores over a faulty network."""
 
 import random
 from typing import Any
@@ -25,64 +25,72 @@
 CAPACITY_UNITS_PER_S = SERVERS * SLOTS * 100.0
 
 
-def _faulty_drive(seed: int, lost: float, doubled: float, late_s: float) -> Drive:
+def _faulty_drive(
+    seed: int, loss_probability: float, duplicate_probability: float, max_delay_s: float
+) -> Drive:
     drive = Drive(3, SERVERS, SLOTS, LOADS, OPTIONS, seed)
     draw = random.Random(seed)
 
     def delays_s(sender: str, receiver: str) -> tuple[float, ...]:
-        if draw.random() < lost:
+        if draw.random() < loss_probability:
             return ()
-        times = 2 if draw.random() < doubled else 1
-        return tuple(0.001 + draw.random() * late_s for _ in range(times))
+        times = 2 if draw.random() < duplicate_probability else 1
+        return tuple(0.001 + draw.random() * max_delay_s for _ in range(times))
 
     drive.delays_s = delays_s
     return drive
 
 
 def _for_any_network(check: Any) -> None:
-    chance = st.floats(0, 0.3)
-    wrapped = given(st.integers(0, 10_000), chance, chance, st.floats(0, 0.1))(check)
+    probability = st.floats(0, 0.3)
+    wrapped = given(st.integers(0, 10_000), probability, probability, st.floats(0, 0.1))(check)
     settings(max_examples=FAULTY_EXAMPLES)(wrapped)()
 
 
 @then("for any faulty network, the gap stays under its formula and everyone is served")
-def faulty_gap(context: Any) -> None:
-    def check(seed: int, lost: float, doubled: float, late_s: float) -> None:
-        drive = _faulty_drive(seed, lost, doubled, late_s)
+def check_gap_bound(context: Any) -> None:
+    def check(
+        seed: int, loss_probability: float, duplicate_probability: float, max_delay_s: float
+    ) -> None:
+        drive = _faulty_drive(seed, loss_probability, duplicate_probability, max_delay_s)
         result = drive.run(5.0, 1.0)
-        # Work that each owner may start unseen, and service unseen between refreshes,
-        # of which one in (1 - lost) arrives.
-        unseen_s = 3 * OPTIONS.refresh_interval_s / (1 - lost) + late_s
-        bound = 4 * drive.largest_cost_units + CAPACITY_UNITS_PER_S * unseen_s
+        # Each owner may start work, and miss service, that is not reported until the next
+        # refresh; of the refreshes a fraction (1 - loss_probability) arrives.
+        unreported_s = 3 * OPTIONS.refresh_interval_s / (1 - loss_probability) + max_delay_s
+        bound = 4 * drive.largest_cost_units + CAPACITY_UNITS_PER_S * unreported_s
         assert result.largest_gap_units <= bound, (result.largest_gap_units, bound)
         assert min(result.served_units.values()) > 0, result.served_units
 
     _for_any_network(check)
 
 
-def _leases_on_nothing(drive: Drive) -> set[int]:
-    """Return the leases that an owner counts though their holder runs nothing on them."""
-    used = {run.grant_id for core in drive.cores.values() for run in core.ingress.running.values()}
-    held = {
+def _find_unused_leases(drive: Drive) -> set[int]:
+    """Return the leases that an owner counts although no router runs a request on them."""
+    used_grants = {
+        run.grant_id for core in drive.cores.values() for run in core.ingress.running.values()
+    }
+    held_grants = {
         grant_id
         for core in drive.cores.values()
         for server in core.owner.servers.values()
         for grant_id in server.holds
     }
-    return held - used
+    return held_grants - used_grants
 
 
 @then("for any faulty network, a lease on nothing ends in time and no server is overrun")
-def faulty_leases(context: Any) -> None:
-    def check(seed: int, lost: float, doubled: float, late_s: float) -> None:
-        drive = _faulty_drive(seed, lost, doubled, late_s)
+def check_leases(context: Any) -> None:
+    def check(
+        seed: int, loss_probability: float, duplicate_probability: float, max_delay_s: float
+    ) -> None:
+        drive = _faulty_drive(seed, loss_probability, duplicate_probability, max_delay_s)
         drive.fill_queues()
-        # A lost release, or list, keeps a slot until its lease ends; nothing does longer.
-        allowed_s = OPTIONS.hold_lease_s + late_s + 0.1
+        # After a lost release or hold list, a slot stays taken, at most until its lease ends.
+        allowed_s = OPTIONS.hold_lease_s + max_delay_s + 0.1
         since_s: dict[int, float] = {}
         while drive.now_s < 10.0:
             drive.advance(drive.now_s + 0.05)
-            idle = _leases_on_nothing(drive)
+            idle = _find_unused_leases(drive)
             since_s = {grant: since_s.get(grant, drive.now_s) for grant in idle}
             for grant, start_s in since_s.items():
                 assert drive.now_s - start_s < allowed_s, (grant, drive.now_s - start_s)
@@ -91,7 +99,7 @@
 
 
 @then("for any load, without loss, every server is full again within one refresh")
-def busy(context: Any) -> None:
+def check_full_servers(context: Any) -> None:
     @settings(max_examples=FAULTY_EXAMPLES)
     @given(st.integers(0, 10_000))
     def check(seed: int) -> None:
@@ -113,9 +121,11 @@
 
 
 @then("for any faulty network, every request is dispatched once")
-def faulty_once(context: Any) -> None:
-    def check(seed: int, lost: float, doubled: float, late_s: float) -> None:
-        drive = _faulty_drive(seed, lost, doubled, late_s)
+def check_dispatched_once(context: Any) -> None:
+    def check(
+        seed: int, loss_probability: float, duplicate_probability: float, max_delay_s: float
+    ) -> None:
+        drive = _faulty_drive(seed, loss_probability, duplicate_probability, max_delay_s)
         drive.run(3.0, 0.5)
         assert drive.dispatched, "nothing ran"
         assert max(drive.dispatched.values()) == 1
--- a/tests/steps/quarantine_steps.py
+++ b/tests/steps/quarantine_steps.py
@@ -1,4 +1,4 @@
-"""Requests that end the servers that run them, and what becomes of all others."""
+"""Steps of requests that end the servers that run them, at real routers."""
 
 import json
 import time
@@ -9,8 +9,8 @@
 from standins.attempts import Attempt, make_headers, new_id, send
 from standins.network import wait_for
 
-BETWEEN_S = 0.3
-"""Between two attempts of a caller that repeats at once; an ended engine is away longer."""
+ATTEMPT_INTERVAL_S = 0.3
+"""Interval of a client that retries at once; an ended engine is down for longer."""
 
 
 def _send_body(context: Any, workspace: str, path: str, body: str, router: int) -> Attempt:
@@ -31,7 +31,7 @@
     for number in range(count):
         router = number % len(context.nodes.nodes)
         context.attempts.append(_send_body(context, workspace, path, body, router))
-        time.sleep(BETWEEN_S)
+        time.sleep(ATTEMPT_INTERVAL_S)
 
 
 def _count_ended(context: Any) -> int:
@@ -39,28 +39,28 @@
 
 
 @then("at most {count:d} engines have ended")
-def check_ended_few(context: Any, count: int) -> None:
+def check_few_ended(context: Any, count: int) -> None:
     ended = _count_ended(context)
     assert ended <= count, f"{ended} engines ended; at most {count} expected"
 
 
-@then('the last {count:d} answers say "{code}" and to come back after {wait_s:d} seconds or more')
+@then('the last {count:d} answers say "{code}" and to retry after {wait_s:d} seconds or more')
 def check_refused(context: Any, count: int, code: str, wait_s: int) -> None:
     for attempt in context.attempts[-count:]:
         assert attempt.status == 503, f"got {attempt.status}: {attempt.body!r}"
         assert json.loads(attempt.body)["error"]["code"] == code, f"got {attempt.body!r}"
-        told_s = float(attempt.headers["Retry-After"])
-        assert told_s >= wait_s, f"told to come back after {told_s} s"
+        retry_after_s = float(attempt.headers["Retry-After"])
+        assert retry_after_s >= wait_s, f"told to retry after {retry_after_s} s"
 
 
 @then('"{workspace}" is served at every router')
 def check_others(context: Any, workspace: str) -> None:
     for router in range(len(context.nodes.nodes)):
 
-        def served(router: int = router) -> bool:
+        def is_served(router: int = router) -> bool:
             return _send_body(context, workspace, "/summary/week", "sound", router).status == 200
 
-        wait_for(served, f"router {router + 1} to serve {workspace}")
+        wait_for(is_served, f"router {router + 1} to serve {workspace}")
 
 
 @then('the answer is {status:d}, names the attempt and says "{code}"')
--- a/tests/steps/server_notice_property_steps.py
+++ b/tests/steps/server_notice_property_steps.py
@@ -1,4 +1,4 @@
-"""What servers say of themselves in answers: its reading, and the core alone in histories."""
+"""Steps of notices in servers' answers: their parsing, and routers in simulated histories."""
 
 import random
 from dataclasses import dataclass
@@ -27,40 +27,40 @@
 OPTIONS = CoreOptions(retry_burst=1000.0)
 HISTORIES = 25
 UNSHRUNK = (Phase.explicit, Phase.generate)
-"""A history that fails is played again from its seed; a smaller seed is no simpler one."""
+"""A failing history is not shrunk: a smaller seed gives no simpler history."""
 
-PLAYED_S = 12.0
+FAULTS_END_S = 12.0
 REQUESTS = 400
 SETTLED_S = 3.0
-"""After the last fault, within which callers are served as before."""
+"""Time after the last fault in which clients still send requests."""
 
 NAMES = HeaderNames(server_leaving="Leaves")
 
 
 @dataclass(frozen=True, slots=True)
-class Sends:
-    """Sends of one history that a router should have held back."""
+class ForbiddenSends:
+    """Requests that routers sent to servers in spite of their notices."""
 
     to_leaving: list[tuple[str, str, float]]
-    too_early: list[tuple[str, str, float]]
+    during_backoff: list[tuple[str, str, float]]
 
 
-def find_wrong_sends(history: History) -> Sends:
-    """Return what was sent to servers that had told its router not to."""
-    to_leaving, too_early = [], []
+def find_forbidden_sends(history: History) -> ForbiddenSends:
+    """Return the requests sent to servers that were leaving or had asked for a back-off."""
+    to_leaving, during_backoff = [], []
     for router, engine, at_s in history.dispatches:
-        told_s = history.told_leaving_s.get((router, engine))
-        if told_s is not None and at_s > told_s:
+        reported_at_s = history.leaving_reported_at_s.get((router, engine))
+        if reported_at_s is not None and at_s > reported_at_s:
             to_leaving.append((router, engine, at_s))
-        for since_s, until_s in history.told_backoffs.get((router, engine), ()):
+        for since_s, until_s in history.reported_backoffs.get((router, engine), ()):
             if since_s < at_s < until_s:
-                too_early.append((router, engine, at_s))
-    return Sends(to_leaving, too_early)
+                during_backoff.append((router, engine, at_s))
+    return ForbiddenSends(to_leaving, during_backoff)
 
 
-def _ask(history: History, entry: str, number: int) -> None:
+def _send_request(history: History, ingress: str, number: int) -> None:
     request = make_request(f"r{number}", "abcd"[number % 4], number % 7, 300, history.now_s, True)
-    history.ask(entry, request)
+    history.ask(ingress, request)
 
 
 def _restart(history: History, name: str) -> None:
@@ -68,54 +68,62 @@
     history.start_router(name)
 
 
-def _play(seed: int, lost_part: float, restarts: int, routers: int = 4) -> History:
-    """Play a history in which engines leave, and turn requests away, at moments of chance."""
-    history = History(seed, routers, 6, Network(lost_part, 0.1, 0.02), OPTIONS)
+def _run_history(seed: int, loss_probability: float, restarts: int, routers: int = 4) -> History:
+    """Run a history in which engines leave, or refuse with a back-off, at random times."""
+    history = History(seed, routers, 6, Network(loss_probability, 0.1, 0.02), OPTIONS)
     draw = random.Random(seed)
-    part, longest_s = draw.choice([0.2, 0.5, 1.0]), draw.choice([0.6, 3.0])
-    ends_s = {f"e{number}": draw.uniform(2.0, PLAYED_S) for number in draw.sample(range(6), 3)}
-
-    def turn_away(engine: str) -> float:
-        strikes = engine in ends_s and 1.5 < history.now_s < ends_s[engine]
-        return draw.uniform(0.5, longest_s) if strikes and draw.random() < part else 0.0
-
-    history.backoff_s = turn_away
+    refused_fraction, max_backoff_s = draw.choice([0.2, 0.5, 1.0]), draw.choice([0.6, 3.0])
+    refusals_end_s = {
+        f"e{number}": draw.uniform(2.0, FAULTS_END_S) for number in draw.sample(range(6), 3)
+    }
+
+    def choose_backoff_s(engine: str) -> float:
+        is_refusing = engine in refusals_end_s and 1.5 < history.now_s < refusals_end_s[engine]
+        return (
+            draw.uniform(0.5, max_backoff_s)
+            if is_refusing and draw.random() < refused_fraction
+            else 0.0
+        )
+
+    history.backoff_s = choose_backoff_s
     for number in draw.sample(range(6), 2):
-        at_s = draw.uniform(2.0, PLAYED_S)
+        at_s = draw.uniform(2.0, FAULTS_END_S)
         history.at(at_s, partial(history.leaving_engines.add, f"e{number}"))
     names = list(history.alive)
     for _ in range(restarts):
-        history.at(draw.uniform(2.0, PLAYED_S), partial(_restart, history, draw.choice(names)))
+        history.at(draw.uniform(2.0, FAULTS_END_S), partial(_restart, history, draw.choice(names)))
     for number in range(REQUESTS):
-        at_s = 1.5 + number * (PLAYED_S + SETTLED_S - 1.5) / REQUESTS
-        history.at(at_s, partial(_ask, history, draw.choice(names), number))
-    history.run_until(PLAYED_S + SETTLED_S + 4.0)
+        at_s = 1.5 + number * (FAULTS_END_S + SETTLED_S - 1.5) / REQUESTS
+        history.at(at_s, partial(_send_request, history, draw.choice(names), number))
+    history.run_until(FAULTS_END_S + SETTLED_S + 4.0)
     return history
 
 
-@then("in any history no router sends to a server that has told it not to")
+@then("in any history no router sends to a server that leaves or asked it to back off")
 def check_histories(context: Any) -> None:
     @settings(max_examples=HISTORIES, phases=UNSHRUNK)
     @drawn(st.integers(0, 10**6), st.sampled_from([0.0, 0.1, 0.3]), st.integers(0, 3))
-    def check(seed: int, lost_part: float, restarts: int) -> None:
-        history = _play(seed, lost_part, restarts)
-        wrong = find_wrong_sends(history)
-        assert not wrong.to_leaving, f"sent after it had said that it leaves: {wrong.to_leaving}"
-        assert not wrong.too_early, f"sent before its time was over: {wrong.too_early}"
+    def check(seed: int, loss_probability: float, restarts: int) -> None:
+        history = _run_history(seed, loss_probability, restarts)
+        forbidden = find_forbidden_sends(history)
+        assert not forbidden.to_leaving, (
+            f"sent to a server that had reported that it is leaving: {forbidden.to_leaving}"
+        )
+        assert not forbidden.during_backoff, f"sent during a back-off: {forbidden.during_backoff}"
 
     check()
 
 
-@then("in any history callers are served again once servers turn nobody away")
+@then("in any history clients are served again once servers refuse nothing")
 def check_served_again(context: Any) -> None:
     @settings(max_examples=HISTORIES, phases=UNSHRUNK)
     @drawn(st.integers(0, 10**6), st.sampled_from([0.0, 0.1]))
-    def check(seed: int, lost_part: float) -> None:
-        history = _play(seed, lost_part, 0)
+    def check(seed: int, loss_probability: float) -> None:
+        history = _run_history(seed, loss_probability, 0)
         late = [
             outcome
             for name, outcome in history.outcomes.items()
-            if outcome.deadline_s > PLAYED_S + 1.0 + 3.0
+            if outcome.deadline_s > FAULTS_END_S + 1.0 + 3.0
         ]
         served = [outcome for outcome in late if outcome.ended_at_s is not None]
         assert late and len(served) >= 0.97 * len(late), f"{len(served)} of {len(late)} served"
@@ -131,15 +139,15 @@
     context.history.run_until(1.5)
 
 
-@when('an answer tells one router that "{engine}" leaves')
-def tell_one(context: Any, engine: str) -> None:
+@when('an answer reports to one router that "{engine}" is leaving')
+def report_leaving(context: Any, engine: str) -> None:
     history = context.history
-    teller = next(iter(history.alive))
-    context.owner = history.alive[teller].placement.server_owners[engine]
-    history.feed(teller, events.ServerNoticed(engine, "a/r", leaving=True))
+    receiver = next(iter(history.alive))
+    context.owner = history.alive[receiver].placement.server_owners[engine]
+    history.feed(receiver, events.ServerNoticed(engine, "a/r", leaving=True))
 
 
-@then('within {wait_s:g} s the owner of "{engine}" grants it no more')
+@then('within {wait_s:g} s the owner of "{engine}" knows that it is leaving')
 def check_owner(context: Any, wait_s: float, engine: str) -> None:
     history = context.history
     history.run_until(history.now_s + wait_s)
@@ -147,7 +155,7 @@
     assert owner.configuration.backend_servers[engine].leaving
 
 
-@then('within {wait_s:g} s every router takes "{engine}" for leaving')
+@then('within {wait_s:g} s every router considers "{engine}" leaving')
 def check_all_know(context: Any, wait_s: float, engine: str) -> None:
     history = context.history
     history.run_until(history.now_s + wait_s)
@@ -159,28 +167,28 @@
     assert not unaware, f"{len(unaware)} of {len(history.alive)} routers do not know"
 
 
-@when("every engine turns router 1 away for {backoff_s:g} s")
-def turn_all_away(context: Any, backoff_s: float) -> None:
+@when("every engine asks router 1 to back off for {backoff_s:g} s")
+def report_backoffs(context: Any, backoff_s: float) -> None:
     history = context.history
     context.router = next(iter(history.alive))
     context.until_s = history.now_s + backoff_s
     for engine in history.alive[context.router].configuration.backend_servers:
-        said = events.ServerNoticed(engine, "a/r", backoff_until_s=context.until_s)
-        history.feed(context.router, said)
+        notice = events.ServerNoticed(engine, "a/r", backoff_until_s=context.until_s)
+        history.feed(context.router, notice)
 
 
-@then("a request there is refused at once, to come back within 0.5 s after that time")
+@then("a request there is refused at once, to be retried within 0.5 s after the back-off")
 def check_refused(context: Any) -> None:
     history = context.history
     request = make_request("held", "a", 1, 300, history.now_s, True)
     done = history.alive[context.router].handle(events.RequestArrived(request), history.now_s)
     refusals = [action for action in done if hasattr(action, "retry_after_s")]
     assert [action.reason for action in refusals] == [RefusalReason.BACKED_OFF], done
-    back_s = history.now_s + refusals[0].retry_after_s
-    assert context.until_s <= back_s <= context.until_s + 0.5, back_s
+    retry_s = history.now_s + refusals[0].retry_after_s
+    assert context.until_s <= retry_s <= context.until_s + 0.5, retry_s
 
 
-@then("a request there waits, and is served after that time within its aim")
+@then("a request there waits, and is served after the back-off")
 def check_waits(context: Any) -> None:
     history = context.history
     history.ask(context.router, make_request("held", "a", 1, 300, history.now_s, True))
@@ -191,18 +199,18 @@
     assert outcome.ended_at_s is not None
 
 
-@when("the engine turns a request away for {backoff_s:g} s, once")
-def turn_away_once(context: Any, backoff_s: float) -> None:
+@when("the engine refuses a request with a back-off of {backoff_s:g} s, once")
+def refuse_once(context: Any, backoff_s: float) -> None:
     history = context.history
     context.until_s = history.now_s + backoff_s
-    answers_s = [backoff_s]
-    history.backoff_s = lambda engine: answers_s.pop() if answers_s else 0.0
-    entry = next(iter(history.alive))
-    history.ask(entry, make_request("again", "a", 1, 300, history.now_s, True))
+    backoffs_s = [backoff_s]
+    history.backoff_s = lambda engine: backoffs_s.pop() if backoffs_s else 0.0
+    ingress = next(iter(history.alive))
+    history.ask(ingress, make_request("again", "a", 1, 300, history.now_s, True))
     history.run_until(history.now_s + 1.0)
 
 
-@then("that request is served after that time")
+@then("that request is served after the back-off")
 def check_served_later(context: Any) -> None:
     outcome = context.history.outcomes["again"]
     assert len(outcome.dispatched_at_s) == 2, outcome
@@ -226,7 +234,7 @@
     assert history.outcomes["other"].ended_at_s is not None
 
 
-@then("an answer's head is read so")
+@then("the head of an answer is read as follows")
 def check_reading(context: Any) -> None:
     for row in context.table:
         headers = [tuple(part.split(": ", 1)) for part in row["headers"].split("; ") if part]
@@ -236,7 +244,9 @@
         assert seen == expected, f"{row['headers']!r}: seen {seen}, expected {expected}"
 
 
-@then("for any status and headers, reading an answer's head raises nothing, and bounds the time")
+@then(
+    "for any status and headers, reading an answer's head raises nothing, and bounds the back-off"
+)
 def check_any_head(context: Any) -> None:
     @drawn(
         st.integers(100, 999),
@@ -250,8 +260,8 @@
     check()
 
 
-@then("that a server leaves is remembered for an hour after its entry has gone, and no longer")
-def check_forgetting(context: Any) -> None:
+@then("that a server leaves is remembered for an hour after its entry is removed, and no longer")
+def check_leaving_memory(context: Any) -> None:
     leaving = LeavingServers()
     record_leaving(leaving, make_leaving_row(leaving, "e"), 1)
     forget_removed_servers(leaving, {"e"}, 0.0)
@@ -260,12 +270,12 @@
     assert "e" in leaving.servers
     forget_removed_servers(leaving, {"e"}, 9.5 + LEAVING_MEMORY_S)
     forget_removed_servers(leaving, set(), 11.0 + LEAVING_MEMORY_S)
-    assert "e" in leaving.servers, "its time begins anew once it was named again"
+    assert "e" in leaving.servers, "the hour begins anew when its entry was listed again"
     forget_removed_servers(leaving, set(), 12.0 + 2 * LEAVING_MEMORY_S)
     assert not leaving.servers
 
 
-@then("a late report of the start that leaves does not bring it back, but a later start does")
+@then("a late report of the start that leaves does not make it usable, but a later start does")
 def check_incarnations(context: Any) -> None:
     leaving = LeavingServers()
     record_incarnation(leaving, "e", 5)
--- a/tests/steps/share_mix_steps.py
+++ b/tests/steps/share_mix_steps.py
@@ -33,7 +33,7 @@
 """Shares are checked from this long after the loss on."""
 
 ENDS_S = 17.0
-NETWORK = Network(lost_part=0.005, doubled_part=0.005)
+NETWORK = Network(loss_probability=0.005, duplicate_probability=0.005)
 
 
 def play_mix(
--- a/tests/steps/share_steps.py
+++ b/tests/steps/share_steps.py
@@ -67,7 +67,7 @@
 
 @then("the accountant has reported the level and the workspaces above it, once a second")
 def check_reported(context: Any) -> None:
-    levels = context.served.history.levels_noted
+    levels = context.served.history.level_reports
     assert 3 <= len(levels) <= 4, levels
     for level in levels:
         assert level.level_tokens <= level.shared_tokens <= level.configured_tokens, level
@@ -182,8 +182,8 @@
 
 @then("engines' owners have refused less than half as often as when each request asks them")
 def check_asked_less(context: Any) -> None:
-    refused = context.served.history.owners_refused
-    always = context.asked_always.history.owners_refused
+    refused = context.served.history.owner_refusals
+    always = context.asked_always.history.owner_refusals
     assert refused < 0.5 * always, f"owners refused {refused} times, {always} if always asked"
 
 
--- a/tests/steps/zone_steps.py
+++ b/tests/steps/zone_steps.py
@@ -1,4 +1,4 @@
-"""Steps of fleets over several availability zones, in histories of decision cores."""
+"""Steps of fleets in several availability zones, in simulated histories."""
 
 import random
 from collections.abc import Callable
@@ -6,8 +6,7 @@
 from typing import Any
 
 from accountant_steps import make_account
-from behave import given as before
-from behave import then, when
+from behave import given, then, when
 
 from myrtlehook_core import CoreOptions, MemberState, PromptPart, actions, events
 from myrtlehook_core.process.accountants import compute_level, compute_shared_tokens
@@ -21,23 +20,25 @@
 
 STEP_S = 0.05
 AIM_S = 0.6
-"""Of requests that ``make_request`` makes."""
-ASK_INTERVAL_S = 0.25
-ASKED_TOKENS = {"a": 6000, "b": 2000, "c": 200}
-LEVEL_TOLERANCE_PART = 0.2
-"""Reports are up to 0.6 s old on their way, within a window of 2 s."""
+"""First-token target of the requests that ``make_request`` makes."""
+
+REQUEST_INTERVAL_S = 0.25
+PROMPT_TOKENS = {"a": 6000, "b": 2000, "c": 200}
+
+LEVEL_TOLERANCE_FRACTION = 0.2
+"""Reports arrive up to 0.6 s late, within a window of 2 s."""
 
 
 def run_until_holds(context: Any, seconds: float, holds: Callable[[], bool]) -> None:
-    """Play on until something holds, for so long at the most."""
+    """Run the history until a condition holds; fail when it does not within ``seconds``."""
     history: History = context.history
     end_s = history.now_s + seconds
     while not holds():
-        assert history.now_s < end_s, f"does not hold after {seconds} s"
+        assert history.now_s < end_s, f"condition does not hold after {seconds} s"
         history.run_until(history.now_s + STEP_S)
 
 
-@before("{routers:d} routers and {engines:d} engines in {zones:d} zones that have run for {s:g} s")
+@given("{routers:d} routers and {engines:d} engines in {zones:d} zones that have run for {s:g} s")
 def start_zones(context: Any, routers: int, engines: int, zones: int, s: float) -> None:
     context.history = History(
         1, routers, engines, Network(), CoreOptions(source_readers=4), zones=zones
@@ -45,7 +46,7 @@
     context.history.run_until(s)
 
 
-@before(
+@given(
     "{routers:d} routers and {engines:d} engines in {zones:d} zones without shares, after {s:g} s"
 )
 def start_without_shares(context: Any, routers: int, engines: int, zones: int, s: float) -> None:
@@ -54,7 +55,7 @@
     context.history.run_until(s)
 
 
-@before("{routers:d} routers in {zones:d} zones that read a source and have run for {s:g} s")
+@given("{routers:d} routers in {zones:d} zones that read a source and have run for {s:g} s")
 def start_reading(context: Any, routers: int, zones: int, s: float) -> None:
     source = Source()
     source.put("first")
@@ -63,7 +64,7 @@
     context.history.run_until(s)
 
 
-@before("{routers:d} routers in {zones:d} zones that all start and listen for {s:g} s")
+@given("{routers:d} routers in {zones:d} zones that all start and listen for {s:g} s")
 def start_together(context: Any, routers: int, zones: int, s: float) -> None:
     source = Source()
     source.put("first")
@@ -72,13 +73,19 @@
 
 
 def owners_agree(context: Any, lost_zone: str = "") -> bool:
-    """Tell whether all routers name the same owners, each in its engine's zone if it lives."""
+    """Return whether all routers know the same owners, which are alive and in the engine's zone.
+
+    Engines of ``lost_zone`` may have owners in any zone.
+    """
     history: History = context.history
-    named = [core.placement.server_owners for core in history.alive.values()]
+    owners_by_router = [core.placement.server_owners for core in history.alive.values()]
     servers = next(iter(history.alive.values())).configuration.backend_servers
-    if any(owners != named[0] or owners.keys() != servers.keys() for owners in named):
+    if any(
+        owners != owners_by_router[0] or owners.keys() != servers.keys()
+        for owners in owners_by_router
+    ):
         return False
-    for name, owner in named[0].items():
+    for name, owner in owners_by_router[0].items():
         zone = servers[name].availability_zone
         if owner not in history.alive:
             return False
@@ -112,7 +119,7 @@
 
 
 @then('within {seconds:g} s the engines of zone "{zone}" are owned elsewhere, and all agree')
-def wait_elsewhere(context: Any, seconds: float, zone: str) -> None:
+def wait_owned_elsewhere(context: Any, seconds: float, zone: str) -> None:
     run_until_holds(context, seconds, lambda: owners_agree(context, lost_zone=zone))
 
 
@@ -126,20 +133,20 @@
 
 
 @when("all of them get requests of 3 workspaces for {seconds:g} s")
-def ask_everywhere(context: Any, seconds: float) -> None:
+def send_everywhere(context: Any, seconds: float) -> None:
     context.history.sent_bytes.clear()
-    ask_for(context, seconds)
+    send_requests_for(context, seconds)
 
 
-def ask_for(context: Any, seconds: float) -> None:
-    """Let every router get requests of each workspace at a steady rate."""
+def send_requests_for(context: Any, seconds: float) -> None:
+    """Have every router receive requests of each workspace at a steady rate."""
     history: History = context.history
     draw = random.Random(history.now_s)
-    numbers = int(seconds / ASK_INTERVAL_S)
+    numbers = int(seconds / REQUEST_INTERVAL_S)
     for step in range(numbers):
         for router in list(history.alive):
-            for workspace, tokens in ASKED_TOKENS.items():
-                at_s = history.now_s + (step + draw.random()) * ASK_INTERVAL_S
+            for workspace, tokens in PROMPT_TOKENS.items():
+                at_s = history.now_s + (step + draw.random()) * REQUEST_INTERVAL_S
                 name = f"{workspace}-{router}-{at_s}"
                 request = make_request(name, workspace, 1, tokens, at_s, True)
                 history.at(
@@ -148,13 +155,13 @@
     history.run_until(history.now_s + seconds)
 
 
-@then("reports and levels between zones are at most {part:g} of those within them")
-def check_report_bytes(context: Any, part: float) -> None:
+@then("reports and levels between zones are at most {fraction:g} of those within them")
+def check_report_bytes(context: Any, fraction: float) -> None:
     sent = context.history.sent_bytes
     kinds = ("DemandReport", "ShareLevel")
     far = sum(sent[kind, "other zones"] for kind in kinds)
     near = sum(sent[kind, "own zone"] for kind in kinds)
-    assert near and far <= part * near, sent
+    assert near and far <= fraction * near, sent
 
 
 @when('the collector of zone "{zone}" ends while they go on for {seconds:g} s')
@@ -165,35 +172,45 @@
     collector = find_collector(POOL, Reporters("", core.placement.eligible, near))
     assert collector is not None
     history.kill_router(collector)
-    ask_for(context, seconds)
+    send_requests_for(context, seconds)
 
 
-@then("every router that was asked knows the level, and it is that of all reports together")
+@then(
+    "every router that got requests knows the share level, which follows from all reports together"
+)
 def check_levels(context: Any) -> None:
     history: History = context.history
     window_s = CoreOptions().quota_window_s
     routers = len(history.alive)
-    asked = {
-        workspace: round(routers * (500 + tokens + 60) * window_s / ASK_INTERVAL_S)
-        for workspace, tokens in ASKED_TOKENS.items()
+    expected_tokens = {
+        workspace: round(routers * (500 + tokens + 60) * window_s / REQUEST_INTERVAL_S)
+        for workspace, tokens in PROMPT_TOKENS.items()
     }
     limits = next(iter(history.alive.values())).configuration.limits
     for name, core in history.alive.items():
         demand = core.shares.demands[POOL]
         level = demand.level
         assert level is not None and history.now_s < demand.level_deadline_s, name
-        # All three ask for more than the level, so that its rows tell all that was taken.
-        told = {row.workspace: row.asked_tokens for row in level.rows}
-        assert told.keys() == asked.keys(), (name, level, asked)
-        for workspace, tokens in asked.items():
-            missing = abs(told[workspace] - tokens)
-            assert missing <= LEVEL_TOLERANCE_PART * tokens, (name, level, asked)
+        # All three workspaces ask for more than the level, so that its rows list all demand.
+        reported_tokens = {row.workspace: row.asked_tokens for row in level.rows}
+        assert reported_tokens.keys() == expected_tokens.keys(), (name, level, expected_tokens)
+        for workspace, tokens in expected_tokens.items():
+            deviation_tokens = abs(reported_tokens[workspace] - tokens)
+            assert deviation_tokens <= LEVEL_TOLERANCE_FRACTION * tokens, (
+                name,
+                level,
+                expected_tokens,
+            )
         configured_tokens = limits.tokens_per_s * window_s
         shared_tokens = compute_shared_tokens(make_account(level.rows), configured_tokens)
-        wanted = compute_level(list(asked.values()), shared_tokens)
-        assert wanted is not None
-        wrong = abs(level.level_tokens - wanted)
-        assert wrong <= LEVEL_TOLERANCE_PART * wanted, (name, level, wanted)
+        expected_level = compute_level(list(expected_tokens.values()), shared_tokens)
+        assert expected_level is not None
+        level_deviation = abs(level.level_tokens - expected_level)
+        assert level_deviation <= LEVEL_TOLERANCE_FRACTION * expected_level, (
+            name,
+            level,
+            expected_level,
+        )
 
 
 @when("a router ends at once")
@@ -240,7 +257,7 @@
 
 
 @then("at most {count:d} routers have called the source")
-def check_callers(context: Any, count: int) -> None:
+def check_source_calls(context: Any, count: int) -> None:
     called = [name for name, calls in context.history._source.calls.items() if calls]
     assert len(called) <= count, called
 
@@ -250,19 +267,19 @@
     " for {shared:d} shared tokens"
 )
 def rank(context: Any, near: int, far: int, shared: int) -> None:
-    # Of a fleet in which every engine stands in a zone of its own, the names are taken.
+    # All engines of this history are in zone "z"; all but the near ones are moved to another.
     history = History(1, 1, near + far, Network(), CoreOptions())
     core = next(iter(history.alive.values()))
     servers = core.configuration.backend_servers
     for number, name in enumerate(sorted(servers)):
         if number >= near:
             object.__setattr__(servers[name], "availability_zone", "z1")
-    found: AdmissionContext = core.admission_context()
+    ranking_context: AdmissionContext = core.admission_context()
     context.servers = servers
     parts = (PromptPart("s1", shared), PromptPart("own", 100))
     plain = make_request("r", "a", 1, 100, 0.0, True)
     context.request = replace(plain, prompt_parts=parts, prompt_tokens=shared + 100)
-    context.ranked = rank_engines(found, context.request).names
+    context.ranked = rank_engines(ranking_context, context.request).names
 
 
 @then("the first one is {first}, and all are named once")
@@ -291,13 +308,13 @@
     history.run_until(history.now_s + seconds + 1.0)
 
 
-@then("every request is served, its engine given within {part:g} of its aim")
-def check_all_served(context: Any, part: float) -> None:
+@then("every request is served, its engine granted within {fraction:g} of its aim")
+def check_all_served(context: Any, fraction: float) -> None:
     history: History = context.history
     for request_id, asked_s in context.asked_s.items():
         outcome = history.outcomes[request_id]
         assert outcome.dispatched and not outcome.refused_at_s, (request_id, outcome)
-        assert outcome.dispatched_at_s[0] - asked_s <= part * AIM_S, (request_id, outcome)
+        assert outcome.dispatched_at_s[0] - asked_s <= fraction * AIM_S, (request_id, outcome)
 
 
 @then("engines of every zone have served some")
@@ -321,60 +338,64 @@
     assert POOL in history.alive[name].shares.zone_accounts
 
 
-@then("its next report goes out without that sum, which it forgets")
+@then("its next report omits that sum, and the sum is dropped")
 def check_no_stale_sum(context: Any) -> None:
     history: History = context.history
     core = history.alive[context.router]
     core.shares.next_report_s = 0.0
     sent = core.handle(events.Tick(), history.now_s)
-    reports = [action.message for action in sent if isinstance(action, actions.Send)]
+    messages = [action.message for action in sent if isinstance(action, actions.Send)]
     sums = [
-        found for found in reports if isinstance(found, DemandReport) and not found.to_collector
+        message
+        for message in messages
+        if isinstance(message, DemandReport) and not message.to_collector
     ]
     assert not sums, sums
     assert POOL not in core.shares.zone_accounts
 
 
-def hear_announcement(context: Any, rows: tuple[MemberRow, ...]) -> None:
-    """Let a router of the first zone hear an announcement from another one."""
+def receive_announcement(context: Any, rows: tuple[MemberRow, ...]) -> None:
+    """Have a router of the first zone receive an announcement from another zone."""
     history: History = context.history
     core = history.alive[context.router]
     news = News(rows, (), core.configuration.version.number, "")
-    heard = events.MessageReceived(context.sender, 1, Announcement(news))
-    context.told = [
+    received = events.MessageReceived(context.sender, 1, Announcement(news))
+    context.announcements = [
         action
-        for action in core.handle(heard, history.now_s)
+        for action in core.handle(received, history.now_s)
         if isinstance(action, actions.Send) and isinstance(action.message, Announcement)
     ]
 
 
-@when("a router hears in an announcement of another zone that a third router ended")
-def hear_third(context: Any) -> None:
+@when("a router receives an announcement from another zone that a third router ended")
+def receive_end_of_third(context: Any) -> None:
     history: History = context.history
     names = list(history.alive)
     context.router, context.sender, third = names[0], names[1], names[5]
     member = history.alive[context.router].table.members[third]
     row = MemberRow(third, "", member.incarnation, MemberState.DEAD, member.availability_zone)
-    hear_announcement(context, (row,))
+    receive_announcement(context, (row,))
     assert member.state is MemberState.DEAD
 
 
 @then("it announces nothing")
-def check_silent(context: Any) -> None:
-    assert not context.told, context.told
+def check_no_announcement(context: Any) -> None:
+    assert not context.announcements, context.announcements
 
 
-@when("it hears in an announcement of another zone that the sender stops")
-def hear_sender(context: Any) -> None:
+@when("it receives an announcement from another zone that the sender is leaving")
+def receive_leaving_of_sender(context: Any) -> None:
     member = context.history.alive[context.router].table.members[context.sender]
     row = MemberRow(
         context.sender, "", member.incarnation, MemberState.LEAVING, member.availability_zone
     )
-    hear_announcement(context, (row,))
+    receive_announcement(context, (row,))
 
 
 @then("it announces that to its zone")
-def check_told(context: Any) -> None:
+def check_announced_in_zone(context: Any) -> None:
     history: History = context.history
     own = [name for name in history.alive if history.zones[name] == "z" and name != context.router]
-    assert sorted(action.router_id for action in context.told) == sorted(own), context.told
+    assert sorted(action.router_id for action in context.announcements) == sorted(own), (
+        context.announcements
+    )
