--- a/tests/environment.py
+++ b/tests/environment.py
@@ -1,4 +1,4 @@
-"""behave's hooks: fixtures by tag, and the closing count."""
+"""behave's hooks: fixtures by tag, and the final count of scenarios."""
 
 import sys
 import time
@@ -17,7 +17,7 @@
 from standins.nodes import NodeFleet  # noqa: E402
 from standins.processes import end_processes_at_exit  # noqa: E402
 
-# The same verdict every time: examples are derived from the property, not drawn.
+# Reproducible verdicts: examples are derived from the property's source, not drawn at random.
 settings.register_profile(
     "ci", derandomize=True, deadline=None, database=None, max_examples=100,
     suppress_health_check=list(HealthCheck),
@@ -25,26 +25,26 @@
 settings.load_profile("ci")
 
 SMALL_MEMORY_MB = 88
-"""VMs on which few connections fit."""
+"""The memory of VMs on which a router accepts few connections."""
 
 SEVERAL_SERVICES = 3
-"""Servers of the plain service, so that others can take what one does not."""
+"""The number of plain service servers with which others can run what one of them refuses."""
 
 MANY_ENGINES = 6
-"""So many that some are left while others have ended."""
+"""The number of engines with which some keep running while others have ended."""
 
 ALWAYS_PASSING = {"passing_starts_part": -2.0, "passing_all_part": -1.0}
-"""A router that takes itself for busy, however little it does."""
+"""Thresholds at which a router considers itself busy, however low its load is."""
 
 BUSY_OPTIONS: dict[str, dict[str, float]] = {
     "busy": {},
     "short": {"helping_limit_part": -1.0},
     "all-busy": {**ALWAYS_PASSING, "helping_limit_part": 2.0},
 }
-"""By fleet: what its other routers believe of themselves while the first one is busy."""
+"""The options of the other routers while the first one considers itself busy, by fleet option."""
 
-JOIN_S = 30.0
-"""How long callers of a scenario may take to end once it is over."""
+JOIN_TIMEOUT_S = 30.0
+"""The time limit for a scenario's client threads to end after it."""
 
 
 class CountReporter(Reporter):  # type: ignore[misc]
@@ -56,7 +56,7 @@
         self.failed = 0
 
     def feature(self, feature: Any) -> None:
-        """Count one feature's scenarios."""
+        """Count one feature's passed and failed scenarios."""
         for scenario in feature.walk_scenarios():
             if scenario.status == Status.passed:
                 self.passed += 1
@@ -100,13 +100,13 @@
 
 
 def before_all(context: Any) -> None:
-    """Install the count as the last reporter; leave no process behind, whatever happens."""
+    """Install the count as the last reporter, and have all started processes killed at exit."""
     end_processes_at_exit()
     context.config.reporters.append(CountReporter(context.config))
 
 
 def before_tag(context: Any, tag: str) -> None:
-    """Start what a tag asks for: ``@fleet.3x2`` is 3 routers and 2 engines."""
+    """Start the fleet that a tag names: ``@fleet.3x2`` is 3 routers and 2 engines."""
     if tag.startswith("fleet."):
         routers, engines = tag.removeprefix("fleet.").split("x")
         use_fixture(running_fleet, context, int(routers), int(engines))
@@ -115,8 +115,8 @@
         use_fixture(running_nodes, context, int(routers), option)
 
 
-def _known_red(context: Any) -> set[str]:
-    """Return the scenarios that KNOWN-RED.txt lists."""
+def _read_known_red(context: Any) -> set[str]:
+    """Return the names of the scenarios that KNOWN-RED.txt lists."""
     default = Path(__file__).parent.parent / "KNOWN-RED.txt"
     path = Path(context.config.userdata.get("known_red", default))
     lines = path.read_text().splitlines() if path.exists() else []
@@ -124,11 +124,11 @@
 
 
 def before_scenario(context: Any, scenario: Any) -> None:
-    """Give each scenario its own results and a place for what it must undo."""
+    """Give each scenario its own results and threads; skip it if KNOWN-RED.txt lists it."""
     context.results = {}
     context.threads = []
-    # Rows of an outline have names that end with a blank.
-    if scenario.name.strip() in _known_red(context):
+    # The names of an outline's scenarios end with a blank.
+    if scenario.name.strip() in _read_known_red(context):
         print(f"known red, passed over: {scenario.name}", flush=True)
         scenario.skip("listed in KNOWN-RED.txt")
         return
@@ -137,10 +137,10 @@
 
 
 def after_scenario(context: Any, scenario: Any) -> None:
-    """Join what the scenario started, so that the next one starts clean."""
+    """Join the scenario's threads before the next one starts; print logs after a failure."""
     if hasattr(context, "load"):
         context.load.stopped.set()
-    deadline_s = time.monotonic() + JOIN_S
+    deadline_s = time.monotonic() + JOIN_TIMEOUT_S
     for thread in context.threads:
         thread.join(max(deadline_s - time.monotonic(), 0.1))
     if scenario.status != Status.passed and hasattr(context, "fleet"):
--- a/tests/features/serving.feature
+++ b/tests/features/serving.feature
@@ -1,8 +1,8 @@
 @fleet.3x2
-Feature: A request is served from caller to backend server and back
-  Every part is a process of its own: caller, router, engine, plain service, platform.
+Feature: A request is served from client to backend server and back
+  Client, router, engine, plain service and platform are separate processes.
 
-  Scenario: A whole answer comes back to its caller
+  Scenario: A whole answer is returned to its client
     When "control-room" asks router 1 for 6 tokens about "pump"
     Then the answer has status 200 and outcome "completed"
     And the answer is the 6 tokens about "pump"
@@ -18,7 +18,7 @@
     When every workspace asks every router for 3 tokens
     Then every answer is the caller's own and completed
 
-  Scenario: The caller's request id is echoed
+  Scenario: The client's request id is echoed
     When "planners" asks router 3 for 2 tokens with request id "valve-7.a"
     Then the answer has the header "x-request-id" with "valve-7.a"
 
@@ -45,7 +45,7 @@
       | DELETE |
       | PATCH  |
 
-  Scenario: Operators' endpoints are not where callers are
+  Scenario: Operators' endpoints are not served to clients
     When "planners" sends "GET" "/status" to router 1
     Then the answer is a refusal with status 404 and reason "unknown_path"
 
--- a/tests/features/settings.feature
+++ b/tests/features/settings.feature
@@ -1,6 +1,6 @@
-Feature: Bad settings show every finding with its place and change nothing
+Feature: Invalid settings are rejected with every finding and its place, and change nothing
 
-  Scenario: Several faults are all shown
+  Scenario: All faults are shown at once
     Given settings with a port of 0, no fleet key and an unknown field
     When the router is started with them
     Then the command exits with 2
@@ -8,7 +8,7 @@
     And the command prints "fleet_key"
     And the command prints "no_such_field"
 
-  Scenario: A syntax fault is shown with its line
+  Scenario: A syntax error is shown with its line
     Given settings that end in the middle
     When the router is started with them
     Then the command exits with 2
--- a/tests/features/soak.feature
+++ b/tests/features/soak.feature
@@ -1,18 +1,18 @@
 Feature: A randomized soak of real routers under faults from outside
-  A few seeds here; many more by hand: python -m soak --runs 50.
+  Only a few seeds run here. To run many more: python -m soak --runs 50.
 
   Scenario Outline: The promises are kept under the faults of a seed
     When the soak plays seed <seed> for 6 s
-    Then no promise was broken, and callers were served
+    Then no promise was broken, and clients were served
 
     Examples:
       | seed |
       | 11   |
       | 12   |
 
-  Scenario Outline: The promises are kept while engines end, by chance and under one request
+  Scenario Outline: The promises are kept while engines end, at random and under one request
     When the soak plays seed <seed> for <seconds> s, and engines end
-    Then no promise was broken, and callers were served
+    Then no promise was broken, and clients were served
 
     Examples:
       | seed | seconds |
@@ -20,18 +20,18 @@
       | 3009 | 8       |
       | 3048 | 8       |
 
-  Scenario Outline: The promises are kept while servers tell of themselves in answers
-    When the soak plays seed <seed> for <seconds> s, engines end, and servers tell of themselves
-    Then no promise was broken, and callers were served
+  Scenario Outline: The promises are kept while servers send notices in answers
+    When the soak plays seed <seed> for <seconds> s, engines end, and servers send notices
+    Then no promise was broken, and clients were served
 
     Examples:
       | seed | seconds |
       | 5000 | 9       |
       | 5003 | 9       |
 
-  Scenario Outline: The promises are kept while the store comes back from a copy
-    When the soak plays seed <seed> for <seconds> s, servers tell of themselves, the store returns
-    Then no promise was broken, and callers were served
+  Scenario Outline: The promises are kept while the store is restored from a copy
+    When the soak plays seed <seed> for <seconds> s, servers send notices, the store is restored
+    Then no promise was broken, and clients were served
 
     Examples:
       | seed | seconds |
@@ -39,22 +39,22 @@
 
   Scenario Outline: The promises are kept under all kinds of faults at once
     When the soak plays seed <seed> for <seconds> s under all its faults
-    Then no promise was broken, and callers were served
+    Then no promise was broken, and clients were served
 
     Examples:
       | seed | seconds |
       | 7006 | 9       |
       | 7049 | 9       |
 
-  Scenario: The checks tell what reached a server that was to be left alone
-    Then 3 requests within what a server asked for are found, and 2 are not
-    And a request 2 s after its router passed on that the server leaves is found
-    And neither is found where its router was paused, or the way to its server was struck
+  Scenario: The checks find requests that reached a server during its back-off or after its notice
+    Then 3 requests within a server's back-off are found, and 2 are not
+    And a request 2 s after its router forwarded that the server leaves is found
+    And neither is found where its router was paused, or the link to its server was cut
 
-  Scenario: The checks tell each broken promise
+  Scenario: The checks find each broken promise
     Given an attempt with a whole answer of "i-engine-1" that was run once
     Then the checks find nothing
-    And each of these is found when it is spoilt
+    And each of these faults breaks its promise
       | fault       | promise                                |
       | seal        | a success carries a server's seal      |
       | events      | a stream is whole                      |
--- a/tests/standins/__init__.py
+++ b/tests/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the outside, started as programs by demo, bench and tests."""
+"""Small stand-ins for external systems, run as programs by the demos, the bench and the tests."""
--- a/tests/standins/callers.py
+++ b/tests/standins/callers.py
@@ -1,4 +1,4 @@
-"""A caller: sends chat completions and service calls, and keeps what it got."""
+"""A client: sends chat completions and service calls, and returns what it received."""
 
 import json
 import time
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True)
 class Result:
-    """What a caller got."""
+    """What a client received in answer to one request."""
 
     status: int = 0
     headers: dict[str, str] = field(default_factory=dict)
@@ -29,16 +29,16 @@
 
 
 class Caller:
-    """Calls routers with one workspace's key."""
+    """Sends requests to routers with one workspace's API key."""
 
     def __init__(self, key: str) -> None:
         self._key = key
         self.on_first_piece: Callable[[], None] | None = None
-        """Called by the reading thread when the first piece of a stream is there."""
+        """Called by the reading thread when the first piece of a stream has arrived."""
         self._http = urllib3.PoolManager(maxsize=128, retries=False)
 
     def headers(self, extra: dict[str, str] | None = None) -> dict[str, str]:
-        """Return the headers of a request."""
+        """Return a request's headers, with the API key."""
         return {"Authorization": f"Bearer {self._key}", **(extra or {})}
 
     def chat(
@@ -50,7 +50,7 @@
         headers: dict[str, str] | None = None,
         model: str = MODEL,
     ) -> Result:
-        """Ask for a chat completion."""
+        """Request a chat completion."""
         content = {
             "model": model,
             "messages": [{"role": "user", "content": prompt}],
@@ -121,14 +121,14 @@
         lines = (pending + chunk).split(b"\n")
         pending = lines.pop()
         for line in lines:
-            _take_line(line, result, started_s)
+            _parse_line(line, result, started_s)
         if result.pieces and on_first_piece is not None:
             on_first_piece()
             on_first_piece = None
     response.release_conn()
 
 
-def _take_line(line: bytes, result: Result, started_s: float) -> None:
+def _parse_line(line: bytes, result: Result, started_s: float) -> None:
     if not line.startswith(b"data: "):
         return
     content = line.removeprefix(b"data: ")
--- a/tests/standins/engine.py
+++ b/tests/standins/engine.py
@@ -1,10 +1,11 @@
 """Stand-in for a model engine: steps, slots, priorities, resumable streams, a run ledger.
 
 The answer to a prompt repeats the prompt's first word with a number, so that a
-test sees whose answer it got. Tests set faults by ``POST /test/faults``:
-``refuse`` and ``die_before_answer`` (how many), ``break_after`` (events, once),
+test sees which request an answer belongs to. Tests set faults by ``POST /test/faults``:
+``refuse`` and ``die_before_answer`` (number of runs), ``break_after`` (events, once),
 ``hold_after`` (tokens, until cleared), ``duplicate``, ``foreign`` and ``lose_runs``
-(switches), ``leaving``, ``refuses_leaving`` (only to who asks for a run), ``load_lag_ms``.
+(switches), ``leaving``, ``refuses_leaving`` (refuses runs as leaving, but does not report it),
+``load_lag_ms``.
 """
 
 import argparse
@@ -19,13 +20,13 @@
 
 from standins.programs import Body, break_connection, read_json, reply, serve
 
-ORPHAN_S = 3.0
-"""A run whose stream nobody reads is cancelled after this long."""
+ORPHAN_TIMEOUT_S = 3.0
+"""A run is cancelled after its stream has had no reader for this time."""
 
 
 @dataclass(slots=True)
 class Run:
-    """One run."""
+    """One run of a request, with the events that it has produced."""
 
     request_id: str
     priority: float
@@ -42,7 +43,7 @@
 
 
 class Engine:
-    """The engine's state."""
+    """The engine's slots, runs, counters and faults."""
 
     def __init__(self, slots: int, step_ms: float, tokens_per_event: int) -> None:
         self.slots = slots
@@ -53,8 +54,8 @@
         self.running: list[Run] = []
         self.runs: dict[str, Run] = {}
         self.started: dict[str, int] = {}
-        self.asked = 0
-        """How often a run was asked for, started or not."""
+        self.start_requests = 0
+        """How many requests to start a run were received, refused ones included."""
         self.busy_slot_s = 0.0
         self.tokens_out = 0
         self.served_tokens: dict[str, int] = {}
@@ -63,7 +64,7 @@
         self.load: dict[str, Any] = {}
 
     def accept(self, order: dict[str, Any]) -> Run:
-        """Take a run; the run ledger counts it."""
+        """Queue a new run, and count its start in the run ledger."""
         content = order["messages"][-1]["content"]
         words = content.split() or ["-"]
         run = Run(
@@ -80,7 +81,7 @@
         return run
 
     def step_forever(self) -> None:
-        """Run one step after another."""
+        """Admit waiting runs and advance the running ones, once per step."""
         next_s = time.monotonic()
         while True:
             self._admit()
@@ -92,7 +93,7 @@
                 self._step(run)
 
     def report_load_forever(self) -> None:
-        """Refresh the load report, which lags."""
+        """Update the load report at intervals, so that it lags behind the real load."""
         while True:
             self.load = {
                 "running": len(self.running) + len(self.waiting),
@@ -108,11 +109,11 @@
             self.running.append(self.waiting.pop(0))
 
     def _step(self, run: Run) -> None:
-        unread = run.readers == 0 and time.monotonic() - run.unread_since_s > ORPHAN_S
+        unread = run.readers == 0 and time.monotonic() - run.unread_since_s > ORPHAN_TIMEOUT_S
         if run.cancelled or unread:
             run.finished = True
             self.running.remove(run)
-            self._wake(run)
+            self._wake_readers(run)
             return
         if run.tokens >= self.faults.get("hold_after", run.max_tokens):
             return
@@ -128,13 +129,13 @@
             self._emit(run, {"finish": "stop", **usage})
             run.finished = True
             self.running.remove(run)
-        self._wake(run)
+        self._wake_readers(run)
 
     def _emit(self, run: Run, content: dict[str, Any]) -> None:
         event = {"request_id": run.request_id, "offset": len(run.events), **content}
         run.events.append(b"data: " + json.dumps(event).encode() + b"\n\n")
 
-    def _wake(self, run: Run) -> None:
+    def _wake_readers(self, run: Run) -> None:
         changed, run.changed = run.changed, Event()
         changed.send()
 
@@ -161,7 +162,7 @@
             if run.finished:
                 raise StopIteration
             run.changed.wait()
-        self._break_if_told()
+        self._break_if_requested()
         event = run.events[self.offset]
         self.offset += 1
         self.sent += 1
@@ -175,18 +176,18 @@
         return event
 
     def close(self) -> None:
-        """Note that nobody reads any more."""
+        """Record that this reader has gone, and since when the run may be without one."""
         self.run.readers -= 1
         self.run.unread_since_s = time.monotonic()
 
-    def _break_if_told(self) -> None:
+    def _break_if_requested(self) -> None:
         faults = self.engine.faults
         if "break_after" in faults and self.sent >= faults["break_after"]:
             del faults["break_after"]
             if faults.get("lose_runs"):
                 self.engine.runs.pop(self.run.request_id, None)
                 self.run.cancelled = True
-            raise ConnectionError("told to break")
+            raise ConnectionError("connection broken as a test requested")
 
 
 def make_application(engine: Engine) -> Any:
@@ -196,13 +197,13 @@
         environ["eventlet.minimum_write_chunk_size"] = 0
         method, path = environ["REQUEST_METHOD"], environ["PATH_INFO"]
         if path == "/v1/runs" and method == "POST":
-            return _start(engine, environ, start_response)
+            return _start_run(engine, environ, start_response)
         if path.startswith("/v1/runs/"):
-            return _existing(engine, environ, start_response)
+            return _serve_existing_run(engine, environ, start_response)
         if path == "/load":
             return reply(start_response, 200, engine.load, [])
         if path == "/orders":
-            return _order(engine, read_json(environ), start_response)
+            return _receive_order(engine, read_json(environ), start_response)
         if path == "/test/faults":
             engine.faults = read_json(environ)
             return reply(start_response, 200, {}, [])
@@ -217,7 +218,7 @@
         if path == "/test/ledger":
             ledger = {
                 "started": engine.started,
-                "asked": engine.asked,
+                "asked": engine.start_requests,
                 "tokens_out": engine.tokens_out,
                 "running": len(engine.running) + len(engine.waiting),
                 "order": engine.order,
@@ -228,9 +229,9 @@
     return application
 
 
-def _start(engine: Engine, environ: dict[str, Any], start_response: Any) -> Body:
+def _start_run(engine: Engine, environ: dict[str, Any], start_response: Any) -> Body:
     order = read_json(environ)
-    engine.asked += 1
+    engine.start_requests += 1
     if engine.faults.get("leaving") or engine.faults.get("refuses_leaving"):
         return reply(start_response, 503, {"started": False, "reason": "leaving"}, [])
     if engine.faults.get("refuse", 0) > 0:
@@ -242,10 +243,10 @@
     if engine.faults.get("die_before_answer", 0) > 0:
         engine.faults["die_before_answer"] -= 1
         break_connection(environ)
-    return _stream(engine, run, 0, start_response)
+    return _stream_run(engine, run, 0, start_response)
 
 
-def _existing(engine: Engine, environ: dict[str, Any], start_response: Any) -> Body:
+def _serve_existing_run(engine: Engine, environ: dict[str, Any], start_response: Any) -> Body:
     run = engine.runs.get(environ["PATH_INFO"].removeprefix("/v1/runs/"))
     if run is None:
         return reply(start_response, 404, {"error": "no such run"}, [])
@@ -253,15 +254,15 @@
         run.cancelled = True
         return reply(start_response, 200, {}, [])
     query = parse_qs(environ.get("QUERY_STRING", ""))
-    return _stream(engine, run, int(query.get("from", ["0"])[0]), start_response)
+    return _stream_run(engine, run, int(query.get("from", ["0"])[0]), start_response)
 
 
-def _stream(engine: Engine, run: Run, offset: int, start_response: Any) -> Body:
+def _stream_run(engine: Engine, run: Run, offset: int, start_response: Any) -> Body:
     start_response("200 OK", [("Content-Type", "text/event-stream")])
     return Stream(engine, run, offset)
 
 
-def _order(engine: Engine, order: dict[str, Any], start_response: Any) -> Body:
+def _receive_order(engine: Engine, order: dict[str, Any], start_response: Any) -> Body:
     if engine.faults.get("checks_orders") and order["fence"] < engine.order["fence"]:
         return reply(start_response, 409, {"error": "old fence"}, [])
     engine.order = order
--- a/tests/standins/fleet_demo.py
+++ b/tests/standins/fleet_demo.py
@@ -1,4 +1,4 @@
-"""The demo: a fleet under a flood, its answers, and shares beside service received."""
+"""A demo: a fleet under a flood of requests, and each workspace's share beside what it received."""
 
 import threading
 import time
@@ -23,7 +23,7 @@
 
 
 class Flood:
-    """Callers that keep asking, and what each workspace was served."""
+    """Clients that send requests without pause, and what each workspace received."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
@@ -33,13 +33,13 @@
         self.lock = threading.Lock()
 
     def run(self) -> None:
-        """Flood from every workspace at once; they come in unevenly."""
+        """Send requests from every workspace at once, unevenly spread over the routers."""
         threads = []
         addresses = [program.address for program in self.fleet.routers.values()]
-        for place, (workspace, callers) in enumerate(FLOOD_CALLERS.items()):
+        for rank, (workspace, callers) in enumerate(FLOOD_CALLERS.items()):
             for index in range(callers):
-                # The first workspace comes in by one router only, the last by all.
-                address = addresses[index % (place + 1) % len(addresses)]
+                # The first workspace uses one router only, the last uses all.
+                address = addresses[index % (rank + 1) % len(addresses)]
                 thread = threading.Thread(target=self._ask, args=(workspace, address))
                 threads.append(thread)
                 thread.start()
@@ -58,41 +58,41 @@
 
 
 def main() -> None:
-    """Run the demo and stop everything it started."""
+    """Run the demo, and stop everything that it started."""
     fleet = Fleet(WORKSPACES)
     try:
         OUT.print("starting platform, 3 engines, 1 plain service, 3 routers ...")
         fleet.start(routers=3, engines=3, services=1, slots=4)
-        _show_answers(fleet)
+        _print_answers(fleet)
         OUT.print(f"\nflooding for {FLOOD_S:.0f} s ...")
         flood = Flood(fleet)
         flood.run()
-        OUT.print(_shares_table(flood))
+        OUT.print(_make_shares_table(flood))
     finally:
         fleet.stop()
 
 
-def _show_answers(fleet: Fleet) -> None:
+def _print_answers(fleet: Fleet) -> None:
     addresses = [program.address for program in fleet.routers.values()]
     for index, plan in enumerate(WORKSPACES):
         caller = Caller(plan.key)
         whole = caller.chat(addresses[index], f"{plan.name} asks", 5)
-        _show(f"{plan.name}, whole", whole, whole.text)
+        _print_result(f"{plan.name}, whole", whole, whole.text)
         streamed = caller.chat(addresses[index], f"{plan.name} streams", 5, stream=True)
-        _show(f"{plan.name}, streamed in {streamed.pieces} pieces", streamed, streamed.text)
+        _print_result(f"{plan.name}, streamed in {streamed.pieces} pieces", streamed, streamed.text)
     path = "/services/terminal/valves/7"
     called = Caller(WORKSPACES[0].key).send(
         addresses[0], "POST", path, b"open", {"X-No-Repeat": "true"}
     )
-    _show("plain service, not to be repeated", called, str(called.body["path"]))
+    _print_result("plain service, not to be repeated", called, str(called.body["path"]))
 
 
-def _show(title: str, result: Result, text: str) -> None:
+def _print_result(title: str, result: Result, text: str) -> None:
     line = f"{title}: {result.status} {result.outcome} {text!r}"
     OUT.print(line, markup=False, highlight=False, soft_wrap=True)
 
 
-def _shares_table(flood: Flood) -> Table:
+def _make_shares_table(flood: Flood) -> Table:
     table = Table("workspace", "share", "entitled", "received", "tokens", "answers")
     shares = {plan.name: plan.share for plan in WORKSPACES}
     total_tokens = sum(flood.served.values()) or 1.0
--- a/tests/standins/fleets.py
+++ b/tests/standins/fleets.py
@@ -1,6 +1,6 @@
 """Starts a fleet on loopback: platform, engines, a plain service, routers.
 
-For the demo, the bench and the tests; the product itself starts no process.
+Used by the demo, the bench and the tests; the product itself starts no process.
 """
 
 import hashlib
@@ -39,18 +39,18 @@
 
     @property
     def address(self) -> str:
-        """IP number and port."""
+        """The IP address and port where it serves requests."""
         return f"127.0.0.1:{self.port}"
 
     @property
     def operators_address(self) -> str:
-        """Where a router's operators' endpoints are."""
+        """The IP address and port of a router's operator endpoints."""
         return f"127.0.0.1:{self.settings['operators']['port']}"
 
 
 @dataclass(frozen=True, slots=True)
 class WorkspacePlan:
-    """A workspace of the fleet."""
+    """A workspace to configure in the fleet."""
 
     name: str
     share: float = 1.0
@@ -70,13 +70,13 @@
 
 
 class Fleet:
-    """Everything that was started, and how to stop it."""
+    """Starts the programs of one fleet, publishes its configuration, and stops it."""
 
     def __init__(self, workspaces: Sequence[WorkspacePlan] = DEFAULT_WORKSPACES) -> None:
         self.workspaces = {plan.name: plan for plan in workspaces}
         self.folder = Path(tempfile.mkdtemp(prefix="fleet-"))
         self.fleet_key = secrets.token_hex(16)
-        """A fleet's own: routers that an interrupted run left behind must not be believed."""
+        """Random for each fleet, so that routers left over from an interrupted run are rejected."""
         self.platform: Program | None = None
         self.engines: dict[str, Program] = {}
         self.services: dict[str, Program] = {}
@@ -111,7 +111,7 @@
         return self.services[name]
 
     def start_routers(self, count: int, **changes: Any) -> None:
-        """Start routers that know one another as seeds."""
+        """Start routers that have one another as seeds."""
         names = [f"vm-{len(self.routers) + index + 1}" for index in range(count)]
         settings = {name: self.make_settings(name) for name in names}
         seeds = [
@@ -124,7 +124,7 @@
             self.start_router(name, item)
 
     def make_settings(self, name: str) -> dict[str, Any]:
-        """Make a router's settings with ports from the OS."""
+        """Make a router's settings with free ports."""
         callers, operators, peers = free_ports(3)
         platform = "127.0.0.1:1" if self.platform is None else self.platform.address
         return {
@@ -178,8 +178,10 @@
             {"name": MODEL_POOL, "kind": "model", "models": [MODEL]},
             {"name": SERVICE_POOL, "kind": "service"},
         ]
-        servers = [self._server(program, MODEL_POOL) for program in self.engines.values()] + [
-            self._server(program, SERVICE_POOL) for program in self.services.values()
+        servers = [
+            self._make_server_document(program, MODEL_POOL) for program in self.engines.values()
+        ] + [
+            self._make_server_document(program, SERVICE_POOL) for program in self.services.values()
         ]
         workspaces = [
             {
@@ -223,7 +225,7 @@
         self.put("vms", json.dumps({"vms": vms}))
 
     def put(self, key: str, text: str) -> None:
-        """Publish one value."""
+        """Publish one value on the platform."""
         assert self.platform is not None
         http("PUT", self.platform.address, f"/test/values/{key}", text.encode())
 
@@ -232,13 +234,13 @@
         assert self.platform is not None
         http("POST", self.platform.address, "/test/mode", json.dumps(mode).encode())
 
-    # -- faults and looks ---------------------------------------------------------
+    # -- faults and state ---------------------------------------------------------
 
-    def cut(self, halves: Sequence[Sequence[str]]) -> None:
-        """Cut the routers into parts that do not reach each other; one part heals."""
-        for part in halves:
-            others = [name for other in halves if other is not part for name in other]
-            for name in part:
+    def cut(self, groups: Sequence[Sequence[str]]) -> None:
+        """Partition the routers into groups that cannot reach each other; a single group heals."""
+        for group in groups:
+            others = [name for other in groups if other is not group for name in other]
+            for name in group:
                 body = json.dumps({"peers": others}).encode()
                 http("POST", self.routers[name].operators_address, "/test/cut", body)
 
@@ -252,18 +254,18 @@
         return dict(metrics["counters"])
 
     def wait_until_ready(self, version: int | None = None) -> None:
-        """Wait until every router is healthy, knows the version and sees every other."""
+        """Wait until every router is healthy, has the version and considers all others alive."""
         wanted = self.version if version is None else version
         for name in self.routers:
             wait_for(partial(self._is_ready, name, wanted), f"{name} to be ready")
 
     def kill(self, program: Program) -> None:
-        """End a process at once."""
+        """Kill a process and wait for its end."""
         program.process.send_signal(signal.SIGKILL)
         program.process.wait(STOP_WAIT_S)
 
     def stop(self) -> None:
-        """End everything that was started."""
+        """Kill everything that was started."""
         programs = [*self.routers.values(), *self.engines.values(), *self.services.values()]
         if self.platform is not None:
             programs.append(self.platform)
@@ -283,7 +285,7 @@
         running = sum(1 for item in self.routers.values() if item.process.poll() is None)
         return status["configuration_number"] >= version and alive >= running - 1
 
-    def _server(self, program: Program, pool: str) -> dict[str, Any]:
+    def _make_server_document(self, program: Program, pool: str) -> dict[str, Any]:
         return {
             "name": program.name,
             "pool": pool,
--- a/tests/standins/platform.py
+++ b/tests/standins/platform.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's configuration service: values that are read and watched.
+"""Stand-in for the platform's configuration service, whose values are read and watched.
 
 Tests publish by ``PUT /test/values/KEY`` and set its faults by ``POST /test/mode``:
 ``down``, ``stale_at`` (a revision), ``slow_ms``, ``reads_per_s``.
@@ -14,7 +14,7 @@
 
 from standins.programs import Body, read_json, reply, serve
 
-LONGEST_WAIT_S = 30.0
+MAX_WAIT_S = 30.0
 
 
 class Platform:
@@ -33,22 +33,22 @@
         """Publish a value and wake the watchers."""
         self.revision += 1
         self.history.setdefault(key, []).append((self.revision, content))
-        self._wake()
+        self._wake_watchers()
         return self.revision
 
     def set_mode(self, mode: dict[str, Any]) -> None:
         """Set the faults in force."""
         self.mode = mode
-        self._wake()
+        self._wake_watchers()
 
     def find(self, key: str) -> tuple[int, bytes] | None:
-        """Return a value as far as a stale service shows it."""
+        """Return a value with its revision, an old one while the service is set to be stale."""
         limit = self.mode.get("stale_at") or self.revision
         seen = [item for item in self.history.get(key, []) if item[0] <= limit]
         return seen[-1] if seen else None
 
-    def over_rate(self) -> bool:
-        """Count a read, and tell whether it is one too many in this second."""
+    def count_read(self) -> bool:
+        """Count a read, and return whether it exceeds the allowed reads per second."""
         self.reads += 1
         now_s = time.monotonic()
         if now_s - self.window_s >= 1.0:
@@ -57,8 +57,8 @@
         return self.window_reads > self.mode.get("reads_per_s", 2000)
 
     def watch(self, key: str, after: int, wait_s: float) -> tuple[int, bytes] | None:
-        """Wait until a value differs from the revision that the reader knows."""
-        deadline_s = time.monotonic() + min(wait_s, LONGEST_WAIT_S)
+        """Wait until a value has another revision than the one that the reader has."""
+        deadline_s = time.monotonic() + min(wait_s, MAX_WAIT_S)
         while True:
             value = self.find(key)
             if value is not None and value[0] != after:
@@ -70,7 +70,7 @@
             with eventlet.Timeout(remaining_s, False):
                 changed.wait()
 
-    def _wake(self) -> None:
+    def _wake_watchers(self) -> None:
         changed, self.changed = self.changed, Event()
         changed.send()
 
@@ -89,15 +89,15 @@
             return reply(start_response, 200, {}, [])
         if path == "/test/reads":
             return reply(start_response, 200, {"reads": platform.reads}, [])
-        return _read(platform, environ, start_response)
+        return _answer_read(platform, environ, start_response)
 
     return application
 
 
-def _read(platform: Platform, environ: dict[str, Any], start_response: Any) -> Body:
+def _answer_read(platform: Platform, environ: dict[str, Any], start_response: Any) -> Body:
     if platform.mode.get("down"):
         return reply(start_response, 503, {"error": "down"}, [])
-    if platform.over_rate():
+    if platform.count_read():
         return reply(start_response, 429, {"error": "too many reads"}, [])
     eventlet.sleep(platform.mode.get("slow_ms", 2) / 1000.0)
     key = environ["PATH_INFO"].removeprefix("/v1/values/")
--- a/tests/standins/platform_demo.py
+++ b/tests/standins/platform_demo.py
@@ -1,4 +1,4 @@
-"""The demo: three routers on the emulated platform, real requests, and a look at a log."""
+"""A demo: three routers on the emulated platform, real requests, and lines of a router's log."""
 
 import json
 
@@ -19,7 +19,7 @@
 
 
 def main() -> None:
-    """Start everything, send one request of each kind, and show what came of it."""
+    """Start everything, send one request of each kind, and print its outcome."""
     OUT.print("starting a platform, 2 engines, 1 plain service and 3 routers ...")
     fleet = NodeFleet()
     try:
@@ -34,7 +34,7 @@
                 node.name, f"{method} {path}", str(attempt.status), _shorten(attempt), str(runs)
             )
         OUT.print(table)
-        _show_log(fleet)
+        _print_log(fleet)
     finally:
         fleet.stop()
 
@@ -44,15 +44,15 @@
     return text if len(text) <= 60 else text[:57] + "..."
 
 
-def _show_log(fleet: NodeFleet) -> None:
+def _print_log(fleet: NodeFleet) -> None:
     node = fleet.nodes[0]
     lines = [line for line in node.log_path.read_text().splitlines() if "request ended" in line]
-    OUT.print(f"the log of {node.name} tells:")
+    OUT.print(f"from the log of {node.name}:")
     for line in lines[:2]:
         OUT.print_json(json.dumps(json.loads(line)))
     _, body = fetch(node.ip, 9464, "/metrics")
     counters = [line for line in body.decode().splitlines() if "outcome" in line]
-    OUT.print("its metrics address tells:", *counters, sep="\n  ")
+    OUT.print("from its metrics:", *counters, sep="\n  ")
 
 
 if __name__ == "__main__":
--- a/tests/standins/processes.py
+++ b/tests/standins/processes.py
@@ -1,4 +1,4 @@
-"""Processes that tests start: all of them end with the test run, however that ends."""
+"""Starts processes for tests, and ends all of them with the test run, however that ends."""
 
 import atexit
 import signal
@@ -12,19 +12,19 @@
 
 
 def start_process(command: Sequence[str | Path], **options: Any) -> subprocess.Popen[bytes]:
-    """Start a process that ends at the latest when this one does."""
+    """Start a process that is killed at the latest when this one ends."""
     process: subprocess.Popen[bytes] = subprocess.Popen(command, **options)
     _STARTED.append(process)
     return process
 
 
 def end_processes_at_exit() -> None:
-    """See to it that no started process is left behind, also when this one is told to end."""
-    atexit.register(_end_all)
+    """Kill all started processes at this one's end, also when SIGTERM ends it."""
+    atexit.register(_kill_all)
     signal.signal(signal.SIGTERM, lambda number, frame: sys.exit(128 + number))
 
 
-def _end_all() -> None:
+def _kill_all() -> None:
     for process in _STARTED:
         if process.poll() is None:
             process.kill()
--- a/tests/standins/programs.py
+++ b/tests/standins/programs.py
@@ -1,4 +1,4 @@
-"""What every stand-in program shares: a small HTTP server on a port from the OS."""
+"""The small HTTP server of every stand-in program, and helpers for its handlers."""
 
 import json
 import logging
@@ -13,12 +13,12 @@
 Reply = tuple[int, Any, Headers]
 Body = Iterable[bytes]
 
-TEXTS = {200: "OK", 304: "Not Modified", 404: "Not Found", 409: "Conflict"}
-WORD_BY_WORD = "eventlet.minimum_write_chunk_size"
+REASON_PHRASES = {200: "OK", 304: "Not Modified", 404: "Not Found", 409: "Conflict"}
+MIN_WRITE_CHUNK_KEY = "eventlet.minimum_write_chunk_size"
 
 
 def serve(application: Callable[..., Body], port: int) -> None:
-    """Serve until ended, and print the port once it listens."""
+    """Serve until the process ends; print the port once it listens."""
     listener = eventlet.listen(("127.0.0.1", port), backlog=1024)
     listener.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     print(f"listening {listener.getsockname()[1]}", flush=True)
@@ -28,9 +28,9 @@
 
 
 def reply(start_response: Callable[..., Any], status: int, content: Any, headers: Headers) -> Body:
-    """Send a JSON value, or bytes as they are."""
+    """Answer with a JSON value, or with bytes unchanged."""
     body = content if isinstance(content, bytes) else json.dumps(content).encode()
-    text = TEXTS.get(status, "Status")
+    text = REASON_PHRASES.get(status, "Status")
     start_response(f"{status} {text}", [*headers, ("Content-Length", str(len(body)))])
     return [body]
 
@@ -41,10 +41,10 @@
 
 
 def break_connection(environ: dict[str, Any]) -> None:
-    """Hang up on the peer without an answer.
+    """Close the connection without an answer.
 
-    :raises ConnectionError: always, so that the server gives up the request.
+    :raises ConnectionError: always, so that the server abandons the request.
     """
     connection = environ["wsgi.input"].get_socket()
     connection.shutdown(socket.SHUT_RDWR)
-    raise ConnectionError("told to break")
+    raise ConnectionError("connection broken as a test requested")
--- a/tests/standins/service.py
+++ b/tests/standins/service.py
@@ -1,8 +1,8 @@
 """Stand-in for a plain service: counts its runs by request id.
 
-Tests set faults by ``POST /test/faults``: ``not_started`` (how many calls are told
-so, with ``retry_after``), ``break`` (how many connections break after the run), ``slow_ms``,
-``leaving``.
+Tests set faults by ``POST /test/faults``: ``not_started`` (number of calls that are refused as
+not started, with ``retry_after``), ``break_before_body`` and ``break`` (number of connections that
+break before the body is read, or after the run), ``slow_ms``, ``leaving``.
 """
 
 import argparse
@@ -15,7 +15,7 @@
 
 
 class Service:
-    """The service's state."""
+    """The service's runs and faults."""
 
     def __init__(self) -> None:
         self.incarnation = int(time.time() * 1000)
@@ -30,7 +30,7 @@
     def application(environ: dict[str, Any], start_response: Any) -> Body:
         path = environ["PATH_INFO"]
         if path == "/load":
-            return _load(service, start_response)
+            return _report_load(service, start_response)
         if path == "/test/faults":
             service.faults = read_json(environ)
             return reply(start_response, 200, {}, [])
@@ -41,7 +41,7 @@
     return application
 
 
-def _load(service: Service, start_response: Any) -> Body:
+def _report_load(service: Service, start_response: Any) -> Body:
     report = {
         "running": service.running,
         "incarnation": service.incarnation,
@@ -55,10 +55,10 @@
     if faults.get("not_started", 0) > 0:
         faults["not_started"] -= 1
         environ["wsgi.input"].read()
-        told = [("X-Run-State", "not-started")]
+        headers = [("X-Run-State", "not-started")]
         if "retry_after" in faults:
-            told.append(("Retry-After", faults["retry_after"]))
-        return reply(start_response, 503, {}, told)
+            headers.append(("Retry-After", faults["retry_after"]))
+        return reply(start_response, 503, {}, headers)
     request_id = environ.get("HTTP_X_REQUEST_ID", "")
     if faults.get("break_before_body", 0) > 0:
         faults["break_before_body"] -= 1
--- a/tests/steps/backend_steps.py
+++ b/tests/steps/backend_steps.py
@@ -4,7 +4,15 @@
 from typing import Any
 
 from behave import given, then, when
-from serving_steps import caller_of, engine, keep, router, service, set_faults, spawn
+from serving_steps import (
+    engine,
+    make_caller,
+    record_result,
+    router,
+    service,
+    set_faults,
+    start_thread,
+)
 
 from standins.network import get_json, wait_for
 
@@ -12,9 +20,9 @@
 @given('"{workspace}" keeps {count:d} requests of {tokens:d} tokens waiting at router {number:d}')
 def keep_waiting(context: Any, workspace: str, count: int, tokens: int, number: int) -> None:
     address = router(context, number).address
-    caller = caller_of(context, workspace)
+    caller = make_caller(context, workspace)
     for _ in range(count):
-        spawn(context, caller.chat, address, workspace, tokens)
+        start_thread(context, caller.chat, address, workspace, tokens)
     operators = router(context, number).operators_address
     wait_for(lambda: get_json(operators, "/status")["queued_requests"] > count // 2, "a queue")
     # The rate of the queue is known once a few have left it.
@@ -103,8 +111,8 @@
 def _call(context: Any, workspace: str, number: int, headers: dict[str, str]) -> None:
     address = router(context, number).address
     path = "/services/terminal/valves/7"
-    result = caller_of(context, workspace).send(address, "POST", path, b"open", headers)
-    keep(context, result)
+    result = make_caller(context, workspace).send(address, "POST", path, b"open", headers)
+    record_result(context, result)
 
 
 @then('the plain service ran "{name}" {count:d} times')
@@ -159,8 +167,8 @@
 
     for program in engines:
         set_faults(program, {"hold_after": tokens // 2})
-    caller = caller_of(context, workspace)
+    caller = make_caller(context, workspace)
     caller.on_first_piece = go_on
     address = router(context, number).address
-    keep(context, caller.chat(address, word, tokens, stream=True), word, tokens)
+    record_result(context, caller.chat(address, word, tokens, stream=True), word, tokens)
     caller.on_first_piece = None
--- a/tests/steps/bound_property_steps.py
+++ b/tests/steps/bound_property_steps.py
@@ -1,4 +1,4 @@
-"""Properties of bounds: leases that pass, and queues that are full."""
+"""Properties of bounds: lease deadlines and queue limits."""
 
 import random
 from dataclasses import replace
@@ -25,7 +25,7 @@
 OPTIONS = CoreOptions()
 
 
-def _core_with_one_request(deadline_s: float) -> RouterCore:
+def _make_core_with_request(deadline_s: float) -> RouterCore:
     load = Load("w0", 1.0, 10.0, (0,))
     core = RouterCore(RouterIdentity("r0", "r0", 1), OPTIONS, random.Random(1).random)
     core.exchange.current = make_configuration([load], 1, 1)
@@ -36,10 +36,10 @@
 
 
 @then("for any delay of a grant, no request starts after the lease")
-def leases(context: Any) -> None:
+def check_leases(context: Any) -> None:
     @given(st.floats(0, 5), st.floats(0, 5))
     def check(sent_at_s: float, delay_s: float) -> None:
-        core = _core_with_one_request(1000.0)
+        core = _make_core_with_request(1000.0)
         now_s = sent_at_s + delay_s
         core.last_tick_s = now_s
         grant = Grant(7, "s0", POOL, "w0", sent_at_s, 0)
@@ -54,13 +54,13 @@
 
 
 @then("for any arrivals, no queue exceeds its bounds and every refusal says when to return")
-def bounds(context: Any) -> None:
+def check_bounds(context: Any) -> None:
     @given(st.lists(st.integers(1, 400), max_size=40), st.integers(1, 10), st.integers(100, 2000))
-    def check(sizes: list[int], most: int, most_bytes: int) -> None:
+    def check(sizes: list[int], max_requests: int, max_bytes: int) -> None:
         load = Load("w0", 1.0, 10.0, (0,))
         core = RouterCore(RouterIdentity("r0", "r0", 1), OPTIONS, random.Random(1).random)
         configuration = make_configuration([load], 1, 1)
-        limits = QueueLimits(most, most_bytes, 1000.0, 30)
+        limits = QueueLimits(max_requests, max_bytes, 1000.0, 30)
         workspace = replace(configuration.workspaces["w0"], limits=limits)
         core.exchange.current = replace(configuration, workspaces={"w0": workspace})
         for index, size in enumerate(sizes):
@@ -68,7 +68,7 @@
             done = core.handle(events.RequestArrived(request), 0.0)
             refused = [item for item in done if isinstance(item, actions.Refuse)]
             assert all(item.retry_after_s >= 1.0 for item in refused)
-            assert core.ingress.queued_requests <= most
-            assert core.ingress.queued_bytes <= most_bytes
+            assert core.ingress.queued_requests <= max_requests
+            assert core.ingress.queued_bytes <= max_bytes
 
     check()
--- a/tests/steps/experiment_steps.py
+++ b/tests/steps/experiment_steps.py
@@ -1,4 +1,4 @@
-"""Steps of experiments, with a stand-in for the users' bench."""
+"""Steps that run experiments with a stand-in for the users' bench, and check their results."""
 
 import json
 import os
@@ -43,12 +43,12 @@
     context.folder = Path(tempfile.mkdtemp(prefix="experiment-"))
 
 
-def _play(context: Any, worth_of: Any) -> None:
+def _run_plays(context: Any, get_worth: Any) -> None:
     folder = context.folder
     experiment = context.experiment
     figures = {
         variant.name: {
-            day: {str(seed): worth_of(variant.name, day, seed) for seed in experiment.seeds}
+            day: {str(seed): get_worth(variant.name, day, seed) for seed in experiment.seeds}
             for day in experiment.days
         }
         for variant in experiment.variants
@@ -68,24 +68,24 @@
 
 
 @when('the bench plays it and "{name}" is worth {less:g} less, give or take {spread:g}')
-def play_both(context: Any, name: str, less: float, spread: float) -> None:
-    def worth_of(variant: str, day: str, seed: int) -> float:
+def play_with_difference(context: Any, name: str, less: float, spread: float) -> None:
+    def get_worth(variant: str, day: str, seed: int) -> float:
         base = 0.6 if day == "quiet-1" else 0.5
         if variant != name:
             return base
-        # Alternate, so that the spread is what was asked for.
+        # The sign alternates, so that the differences have the given spread.
         return base - less + (spread if (seed + len(day)) % 2 else -spread)
 
-    _play(context, worth_of)
+    _run_plays(context, get_worth)
 
 
 @when('the bench gives no figure for "{name}"')
-def play_one(context: Any, name: str) -> None:
-    _play(context, lambda variant, day, seed: None if variant == name else 0.5)
+def play_without_figure(context: Any, name: str) -> None:
+    _run_plays(context, lambda variant, day, seed: None if variant == name else 0.5)
 
 
 @then(
-    '"{name}" is told to be "{verdict}" over {pairs:d} pairs, '
+    '"{name}" is judged "{verdict}" over {pairs:d} pairs, '
     "and the page names each play's journal entry"
 )
 def check_verdict(context: Any, name: str, verdict: str, pairs: int) -> None:
@@ -100,14 +100,14 @@
 
 
 @when('an experiment file names the option "{option}" and the days "{days}"')
-def write_bad(context: Any, option: str, days: str) -> None:
+def load_invalid_experiments(context: Any, option: str, days: str) -> None:
     path = Path(tempfile.mkdtemp(prefix="experiment-")) / "bad.json"
     variant = {"name": "a", "options": {option: True}}
     content = {"question": "?", "variants": [variant], "sites": ["s"], "days": json.loads(days)}
     path.write_text(json.dumps(content))
     context.findings = []
-    for wrong in (content, {**content, "days": ["quiet-1"]}):
-        path.write_text("// A comment.\n" + json.dumps(wrong))
+    for invalid in (content, {**content, "days": ["quiet-1"]}):
+        path.write_text("// A comment.\n" + json.dumps(invalid))
         loaded = load_experiment(path)
         assert isinstance(loaded, Err), loaded
         context.findings += loaded.err_value
--- a/tests/steps/failure_steps.py
+++ b/tests/steps/failure_steps.py
@@ -9,7 +9,7 @@
 
 import pynng
 from behave import given, then, when
-from serving_steps import caller_of, keep, router, set_faults, spawn
+from serving_steps import make_caller, record_result, router, set_faults, start_thread
 
 from myrtlehook_core.process.hashing import rank_routers
 from standins.callers import Caller, Result
@@ -33,8 +33,8 @@
         """Start callers at the given routers in turn."""
         for index in range(callers):
             address = router(self.context, numbers[index % len(numbers)]).address
-            caller = caller_of(self.context, workspace)
-            spawn(self.context, self._ask_forever, caller, address, workspace)
+            caller = make_caller(self.context, workspace)
+            start_thread(self.context, self._ask_forever, caller, address, workspace)
 
     def _ask_forever(self, caller: Caller, address: str, workspace: str) -> None:
         while not self.stopped.is_set():
@@ -175,7 +175,7 @@
     set_faults(program, {"slow_ms": 500})
     context.calls = {}
     address = router(context, number).address
-    caller = caller_of(context, "planners")
+    caller = make_caller(context, "planners")
 
     def call(name: str) -> None:
         headers = {"X-Request-Id": name, "X-No-Repeat": "true", "X-Timeout-Ms": "2500"}
@@ -184,7 +184,7 @@
         )
 
     for index in range(count):
-        spawn(context, call, f"valve-{index}")
+        start_thread(context, call, f"valve-{index}")
     operators = router(context, number).operators_address
 
     def some_done_some_running() -> bool:
@@ -236,15 +236,17 @@
 @given("{count:d} requests with {spare:d} ms to spare wait at router {number:d}")
 def short_requests(context: Any, count: int, spare: int, number: int) -> None:
     address = router(context, number).address
-    caller = caller_of(context, "planners")
+    caller = make_caller(context, "planners")
     context.calls = {}
 
     def ask(name: str) -> None:
         headers = {"X-Request-Id": name, "X-Timeout-Ms": str(spare)}
-        context.calls[name] = keep(context, caller.chat(address, "short", 4, headers=headers))
+        context.calls[name] = record_result(
+            context, caller.chat(address, "short", 4, headers=headers)
+        )
 
     for index in range(count):
-        spawn(context, ask, f"short-{index}")
+        start_thread(context, ask, f"short-{index}")
     time.sleep(0.3)
 
 
--- a/tests/steps/fleet_steps.py
+++ b/tests/steps/fleet_steps.py
@@ -1,4 +1,4 @@
-"""Steps of operators and failures: stopping, killing, freezing, cutting, publishing."""
+"""Steps that stop, kill, freeze and partition routers, and that publish configurations."""
 
 import copy
 import json
@@ -10,23 +10,23 @@
 
 from behave import given, then, when
 from serving_steps import (
-    caller_of,
     expected_text,
     hold_engines,
-    keep,
+    make_caller,
+    record_result,
     router,
-    spawn,
+    start_thread,
 )
 
 from standins.network import http, wait_for
 
-COMMAND_WAIT_S = 60
+COMMAND_TIMEOUT_S = 60
 
 
 def run_command(context: Any, module: str, *arguments: Any) -> None:
     command = [sys.executable, "-W", "ignore", "-m", module, *map(str, arguments)]
     context.command = subprocess.run(
-        command, capture_output=True, text=True, timeout=COMMAND_WAIT_S, check=False
+        command, capture_output=True, text=True, timeout=COMMAND_TIMEOUT_S, check=False
     )
     context.output = context.command.stdout + context.command.stderr
 
@@ -41,43 +41,43 @@
     assert text in context.output, context.output
 
 
-# -- stopping, killing, freezing, cutting ---------------------------------------------
+# -- stopping, killing, freezing, partitioning ---------------------------------------------
 
 
 @given(
     "{whole:d} requests of {tokens:d} tokens and {streams:d} streams of {length:d} tokens"
-    " are on their way at router {number:d}"
+    " are in progress at router {number:d}"
 )
-def on_their_way(
+def start_requests(
     context: Any, whole: int, tokens: int, streams: int, length: int, number: int
 ) -> None:
-    caller = caller_of(context, "planners")
+    caller = make_caller(context, "planners")
     address = router(context, number).address
-    # An answer takes 0.3 s: on a busy machine the first ones are complete before the
-    # last request is taken, and never are all of them on their way.
+    # An answer takes 0.3 s. On a busy machine the first ones would be complete before the
+    # last request is accepted, so that they would never all be in progress at once.
     hold_engines(context)
 
     def ask(prompt: str, count: int, streamed: bool) -> None:
-        keep(context, caller.chat(address, prompt, count, stream=streamed), prompt, count)
+        record_result(context, caller.chat(address, prompt, count, stream=streamed), prompt, count)
 
     for index in range(whole):
-        spawn(context, ask, f"whole{number}-{index}", tokens, False)
+        start_thread(context, ask, f"whole{number}-{index}", tokens, False)
     for index in range(streams):
-        spawn(context, ask, f"stream{number}-{index}", length, True)
+        start_thread(context, ask, f"stream{number}-{index}", length, True)
 
-    def all_taken() -> bool:
+    def all_accepted() -> bool:
         status = context.fleet.status(f"vm-{number}")
         return status["queued_requests"] + status["running_requests"] == whole + streams
 
-    wait_for(all_taken, "every request to be taken", 10)
+    wait_for(all_accepted, "every request to be accepted", 10)
 
 
-@when("router {number:d} is told to stop")
+@when("router {number:d} receives SIGTERM")
 def stop_router(context: Any, number: int) -> None:
     router(context, number).process.send_signal(signal.SIGTERM)
 
 
-@then("router {number:d} is unhealthy or gone")
+@then("router {number:d} is unhealthy or has stopped")
 def check_unhealthy(context: Any, number: int) -> None:
     def is_unhealthy() -> bool:
         answer = http("GET", router(context, number).operators_address, "/healthz")
@@ -86,9 +86,9 @@
     wait_for(is_unhealthy, "the health check to fail", 10)
 
 
-@then("a new request at router {number:d} is refused as draining or finds it gone")
+@then("a new request at router {number:d} is refused as draining or finds it stopped")
 def check_draining(context: Any, number: int) -> None:
-    result = caller_of(context, "planners").chat(router(context, number).address, "late", 2)
+    result = make_caller(context, "planners").chat(router(context, number).address, "late", 2)
     assert result.broken or result.error["code"] == "draining", result
 
 
@@ -105,17 +105,17 @@
 
 
 @given("router {number:d} is frozen")
-def freeze(context: Any, number: int) -> None:
+def freeze_router(context: Any, number: int) -> None:
     router(context, number).process.send_signal(signal.SIGSTOP)
 
 
 @when("router {number:d} wakes")
-def wake(context: Any, number: int) -> None:
+def resume_router(context: Any, number: int) -> None:
     router(context, number).process.send_signal(signal.SIGCONT)
 
 
 @when("router {number:d} is killed and started again")
-def restart(context: Any, number: int) -> None:
+def kill_and_restart(context: Any, number: int) -> None:
     context.fleet.kill(router(context, number))
     context.fleet.restart_router(f"vm-{number}")
 
@@ -137,13 +137,13 @@
 
 
 @when("a configuration with an unknown pool is published")
-def publish_bad(context: Any) -> None:
+def publish_invalid(context: Any) -> None:
     fleet = context.fleet
-    good = copy.deepcopy(fleet.make_documents())
-    bad = copy.deepcopy(good)
-    bad["workspaces"][0]["pools"].append("unknown-pool")
-    context.good_version = fleet.version
-    fleet.publish(bad)
+    valid = copy.deepcopy(fleet.make_documents())
+    invalid = copy.deepcopy(valid)
+    invalid["workspaces"][0]["pools"].append("unknown-pool")
+    context.valid_version = fleet.version
+    fleet.publish(invalid)
 
 
 @then("every router has the published configuration within {seconds:d} seconds")
@@ -160,28 +160,28 @@
 def _check_version(context: Any, name: str, seconds: float) -> None:
     wanted = context.fleet.version
 
-    def has_it() -> bool:
+    def has_version() -> bool:
         answer = http("GET", context.fleet.routers[name].operators_address, "/status")
         return answer is not None and answer.json()["configuration_number"] == wanted
 
-    wait_for(has_it, f"{name} to have configuration {wanted}", seconds)
-    context.good_version = wanted
+    wait_for(has_version, f"{name} to have configuration {wanted}", seconds)
+    context.valid_version = wanted
 
 
 @then("every router still has its configuration")
-def check_kept(context: Any) -> None:
+def check_unchanged(context: Any) -> None:
     deadline_s = time.monotonic() + 1.0
     while time.monotonic() < deadline_s:
         for name in context.fleet.routers:
             seen = context.fleet.status(name)["configuration_number"]
-            assert seen == context.good_version, (name, seen, context.good_version)
+            assert seen == context.valid_version, (name, seen, context.valid_version)
         time.sleep(0.1)
 
 
 @then('"{workspace}" is served by every router')
 def check_served(context: Any, workspace: str) -> None:
     for program in context.fleet.routers.values():
-        result = caller_of(context, workspace).chat(program.address, "new", 2)
+        result = make_caller(context, workspace).chat(program.address, "new", 2)
         assert result.text == expected_text("new", 2), result
 
 
@@ -193,26 +193,26 @@
 
 
 @when("the platform answers with its first revision only")
-def make_stale(context: Any) -> None:
+def make_platform_stale(context: Any) -> None:
     context.fleet.set_platform_mode(stale_at=2)
 
 
 @when("the platform is down")
-def make_down(context: Any) -> None:
+def stop_platform(context: Any) -> None:
     context.fleet.set_platform_mode(down=True)
 
 
-@then("the platform is well again")
-def make_well(context: Any) -> None:
+@then("the platform works normally again")
+def restore_platform(context: Any) -> None:
     context.fleet.set_platform_mode()
 
 
 @given("router {number:d} is cut off from the platform")
-def cut_platform(context: Any, number: int) -> None:
+def cut_platform_link(context: Any, number: int) -> None:
     body = json.dumps({"peers": [], "platform": True}).encode()
     http("POST", router(context, number).operators_address, "/test/cut", body)
 
 
 @then("the platform reaches router {number:d} again")
-def heal_platform(context: Any, number: int) -> None:
+def restore_platform_link(context: Any, number: int) -> None:
     http("POST", router(context, number).operators_address, "/test/cut", b"{}")
--- a/tests/steps/operator_steps.py
+++ b/tests/steps/operator_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the operator's tool, and of the router's settings."""
+"""Steps that run the operator's tool, and start routers with valid and invalid settings."""
 
 import json
 import tempfile
@@ -13,7 +13,7 @@
 # -- the operator's tool ------------------------------------------------------------
 
 
-def _plan(context: Any, name: str, intent: str) -> Path:
+def _run_plan(context: Any, name: str, intent: str) -> Path:
     folder = context.fleet.folder
     intent_path = folder / f"intent-{name}.json"
     intent_path.write_text(intent)
@@ -29,7 +29,7 @@
 @given('operator "{name}" has planned to add workspace "{workspace}"')
 def plan_workspace(context: Any, name: str, workspace: str) -> None:
     item = {"name": workspace, "share": 1, "pools": ["inference"]}
-    _plan(context, name, "// an intent\n" + json.dumps({"workspaces": [item]}))
+    _run_plan(context, name, "// an intent\n" + json.dumps({"workspaces": [item]}))
     assert context.command.returncode == 0, context.output
 
 
@@ -54,7 +54,7 @@
 
 
 @then('the confirmation of operator "{name}" is refused because the base has moved')
-def check_moved(context: Any, name: str) -> None:
+def check_base_changed(context: Any, name: str) -> None:
     folder = _confirm(context, name)
     assert context.command.returncode == 1, context.output
     assert "plan again" in context.output, context.output
@@ -64,7 +64,7 @@
 @when("an operator plans an intent with a share of 0 and an unknown pool")
 def plan_faulty(context: Any) -> None:
     item = {"name": "bad", "share": 0, "pools": ["nowhere"]}
-    _plan(context, "faulty", json.dumps({"workspaces": [item]}))
+    _run_plan(context, "faulty", json.dumps({"workspaces": [item]}))
 
 
 @then("no plan file was written")
@@ -74,13 +74,13 @@
 
 @when('an operator plans to give "{workspace}" a share of {share:d}')
 def plan_share(context: Any, workspace: str, share: int) -> None:
-    _plan(context, "share", json.dumps({"workspaces": [{"name": workspace, "share": share}]}))
+    _run_plan(context, "share", json.dumps({"workspaces": [{"name": workspace, "share": share}]}))
 
 
 @when("an operator plans to remove every engine")
 def plan_removal(context: Any) -> None:
     names = list(context.fleet.engines)
-    _plan(context, "removal", json.dumps({"remove": {"backend_servers": names}}))
+    _run_plan(context, "removal", json.dumps({"remove": {"backend_servers": names}}))
 
 
 @when("an operator reads the status of router {number:d}")
@@ -110,7 +110,7 @@
 # -- settings -----------------------------------------------------------------------
 
 
-def _good_settings() -> dict[str, Any]:
+def _make_valid_settings() -> dict[str, Any]:
     callers, operators, peers = free_ports(3)
     return {
         "vm": "vm-1",
@@ -124,8 +124,8 @@
 
 
 @given("settings with a port of 0, no fleet key and an unknown field")
-def faulty_settings(context: Any) -> None:
-    settings = _good_settings()
+def make_faulty_settings(context: Any) -> None:
+    settings = _make_valid_settings()
     settings["callers"]["port"] = 0
     del settings["fleet_key"]
     settings["no_such_field"] = 1
@@ -133,23 +133,23 @@
 
 
 @given("settings that end in the middle")
-def broken_settings(context: Any) -> None:
-    context.settings_text = json.dumps(_good_settings())[:80]
+def make_truncated_settings(context: Any) -> None:
+    context.settings_text = json.dumps(_make_valid_settings())[:80]
 
 
 @given("settings with callers and operators on one port")
-def clashing_settings(context: Any) -> None:
-    settings = _good_settings()
+def make_clashing_settings(context: Any) -> None:
+    settings = _make_valid_settings()
     settings["operators"] = settings["callers"]
     context.settings_text = json.dumps(settings)
 
 
 @given("good settings with comments")
-def commented_settings(context: Any) -> None:
-    context.settings_text = "// one router\n" + json.dumps(_good_settings())
+def make_commented_settings(context: Any) -> None:
+    context.settings_text = "// one router\n" + json.dumps(_make_valid_settings())
 
 
-def _settings_path(context: Any) -> Path:
+def _write_settings(context: Any) -> Path:
     path = Path(tempfile.mkdtemp(prefix="settings-")) / "settings.json"
     path.write_text(context.settings_text)
     return path
@@ -157,9 +157,9 @@
 
 @when("the router is started with them")
 def start_with_settings(context: Any) -> None:
-    run_command(context, "myrtlehook_router", "--settings", _settings_path(context))
+    run_command(context, "myrtlehook_router", "--settings", _write_settings(context))
 
 
 @when("the settings are checked")
 def check_settings(context: Any) -> None:
-    run_command(context, "myrtlehook_router", "--settings", _settings_path(context), "--check")
+    run_command(context, "myrtlehook_router", "--settings", _write_settings(context), "--check")
--- a/tests/steps/raw_caller_steps.py
+++ b/tests/steps/raw_caller_steps.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from behave import given, then, when
-from serving_steps import caller_of, router
+from serving_steps import make_caller, router
 
 from standins.network import http, wait_for
 
@@ -120,7 +120,7 @@
 @then('a third is refused with status {status:d} and reason "{reason}"')
 def check_third(context: Any, status: int, reason: str) -> None:
     def is_refused() -> bool:
-        result = caller_of(context, "planners").chat(context.small.address, "third", 2)
+        result = make_caller(context, "planners").chat(context.small.address, "third", 2)
         return result.status == status and result.error["code"] == reason
 
     wait_for(is_refused, "the third connection to be refused", 10)
@@ -131,7 +131,7 @@
     context.held.pop().close()
 
     def is_served() -> bool:
-        result = caller_of(context, "planners").chat(context.small.address, "again", 2)
+        result = make_caller(context, "planners").chat(context.small.address, "again", 2)
         return result.status == 200
 
     wait_for(is_served, "a connection to be taken again", 10)
--- a/tests/steps/regression_steps.py
+++ b/tests/steps/regression_steps.py
@@ -1,4 +1,4 @@
-"""Steps of regression tests on single parts of the router."""
+"""Steps that check single parts of the router, the bench and the tests for faults of the past."""
 
 import contextlib
 import json
@@ -48,14 +48,14 @@
 PART = '{"pools": []}'
 MANIFEST = {"version": 1, "parts": [{"key": "k", "digest": digest_text(PART)}]}
 
-SHOW_PATCHES = """
+PRINT_PATCHED_MODULES = """
 import socket, threading
 from myrtlehook_router import patch_standard_library
 patch_standard_library()
 print(type(threading.Lock()).__module__, socket.socket.__module__)
 """
 
-SHOW_NODELAY = """
+PRINT_NODELAY = """
 import socket
 from myrtlehook_core import ListenSettings
 from myrtlehook_router.connection.listeners import open_listener
@@ -64,14 +64,14 @@
 """
 
 
-def _run(context: Any, program: str) -> None:
+def _run_program(context: Any, program: str) -> None:
     command = [sys.executable, "-W", "ignore", "-c", program]
     context.printed = subprocess.check_output(command, text=True, timeout=60).split()
 
 
 @when("a process patches the standard library as the router does")
-def patch(context: Any) -> None:
-    _run(context, SHOW_PATCHES)
+def patch_library(context: Any) -> None:
+    _run_program(context, PRINT_PATCHED_MODULES)
 
 
 @then("its locks are those of the operating system")
@@ -86,7 +86,7 @@
 
 @when("a listener for callers is opened")
 def open_callers_listener(context: Any) -> None:
-    _run(context, SHOW_NODELAY)
+    _run_program(context, PRINT_NODELAY)
 
 
 @then("its connections send every write at once")
@@ -100,16 +100,16 @@
     return core
 
 
-@when("a core hears of a configuration whose part does not come")
-def hear_configuration(context: Any) -> None:
+@when("a core learns of a configuration whose part does not arrive")
+def receive_manifest(context: Any) -> None:
     core = _make_core()
     first = core.handle(events.ManifestRead(json.dumps(MANIFEST)), 0.1)
     assert any(isinstance(item, actions.FetchPart) for item in first), first
     context.later = core.handle(events.Tick(), 0.9)
 
 
-@then("it asks for the part again")
-def check_asked_again(context: Any) -> None:
+@then("it requests the part again")
+def check_requested_again(context: Any) -> None:
     assert any(isinstance(item, actions.FetchPart) for item in context.later), context.later
 
 
@@ -117,7 +117,7 @@
 def grant_twice(context: Any) -> None:
     core = _make_core()
     core.exchange.current = make_configuration([Load("w0", 1.0, 10.0, (0,))], 1, 1)
-    # Only what the message brings about is looked at: its own server is not adopted yet.
+    # Only the message may cause a start: the core has not adopted its own server yet.
     for name in ("w0/1", "w0/2"):
         request = RequestSpecification(name, "w0", POOL, 10, 0.1, 100.0)
         core.handle(events.RequestArrived(request), 0.1)
@@ -132,7 +132,7 @@
 
 
 @when("the gap is over its bound until the end of a run")
-def gap_over(context: Any) -> None:
+def measure_recovery(context: Any) -> None:
     context.recovery_s = find_recovery_s([(12.0, 90.0), (20.0, 700.0)], 12.0, 100.0)
 
 
@@ -147,30 +147,30 @@
     assert find_recovery_s(gaps, 12.0, 100.0) == 1.5
 
 
-@when("service changes once, and an unchanged report follows before the other ledger's turn")
+@when("service changes once, and an unchanged report precedes the standby ledger's turn")
 def report_unchanged(context: Any) -> None:
     key = PoolKey("w0", POOL)
-    entry = IngressState(10.0)
+    ingress = IngressState(10.0)
     context.placement = Placement(eligible=("r1", "r2", "r3"))
     draw = random.Random(1).random
-    get_account(entry, key, draw).changed = True
-    context.heard = set()
+    get_account(ingress, key, draw).changed = True
+    context.notified = set()
     for turn in range(10):
-        # Work waits at the first two refreshes only, so that the second reports no change.
-        keys = find_keys_to_report(entry) | ({key} if turn < 2 else set())
-        post = MessageOutbox()
-        send_reports(entry, context.placement, CoreOptions(), draw, post, keys, 10.0 + turn)
-        context.heard |= {router for router, _ in post.messages}
+        # A request waits at the first two refreshes only, so that the second reports no change.
+        keys = find_keys_to_report(ingress) | ({key} if turn < 2 else set())
+        outbox = MessageOutbox()
+        send_reports(ingress, context.placement, CoreOptions(), draw, outbox, keys, 10.0 + turn)
+        context.notified |= {router for router, _ in outbox.messages}
 
 
-@then("both ledgers have heard of it after a few refreshes")
-def check_both_heard(context: Any) -> None:
+@then("both ledgers have a report of it after a few refreshes")
+def check_both_notified(context: Any) -> None:
     ledgers = set(find_ledgers(context.placement, PoolKey("w0", POOL), 2))
-    assert context.heard == ledgers, (context.heard, ledgers)
+    assert context.notified == ledgers, (context.notified, ledgers)
 
 
 class _ClosedPipe:
-    """A connection whose other end has been killed."""
+    """A connection that has closed because its other end was killed."""
 
     @property
     def remote_address(self) -> str:
@@ -193,27 +193,27 @@
     assert context.counters.values["drop.unlisted_address"] == 1, context.counters.values
 
 
-@when("a router of another fleet takes router 1 for its seed")
-def start_stranger(context: Any) -> None:
-    known = context.fleet.routers["vm-1"].settings["peers"]["port"]
-    context.stranger = Fleet()
-    seeds = [{"vm": "vm-1", "address": f"127.0.0.1:{known}"}]
-    settings = {**context.stranger.make_settings("vm-9"), "seeds": seeds}
-    context.stranger.start_router("vm-9", settings)
-    context.add_cleanup(context.stranger.stop)
+@when("a router of another fleet has router 1 as its seed")
+def start_foreign_router(context: Any) -> None:
+    seed_port = context.fleet.routers["vm-1"].settings["peers"]["port"]
+    context.other_fleet = Fleet()
+    seeds = [{"vm": "vm-1", "address": f"127.0.0.1:{seed_port}"}]
+    settings = {**context.other_fleet.make_settings("vm-9"), "seeds": seeds}
+    context.other_fleet.start_router("vm-9", settings)
+    context.add_cleanup(context.other_fleet.stop)
 
 
 @then("router 1 drops its messages and knows no peer")
-def check_stranger(context: Any) -> None:
-    def heard() -> bool:
+def check_foreign_router(context: Any) -> None:
+    def has_reacted() -> bool:
         dropped = context.fleet.counters("vm-1").get("drop.unauthenticated_message", 0)
         return dropped > 0 or bool(context.fleet.status("vm-1")["peers"])
 
-    wait_for(heard, "anything heard of the stranger")
+    wait_for(has_reacted, "a reaction to the other fleet's router")
     assert not context.fleet.status("vm-1")["peers"], context.fleet.status("vm-1")["peers"]
 
 
-START_AND_WAIT = """
+START_CHILD_AND_WAIT = """
 import sys, time
 from standins.processes import end_processes_at_exit, start_process
 end_processes_at_exit()
@@ -223,9 +223,9 @@
 """
 
 
-@when("a program that started a process is told to end")
-def end_program(context: Any) -> None:
-    program = subprocess.Popen([sys.executable, "-c", START_AND_WAIT], stdout=subprocess.PIPE)
+@when("a program that started a process receives SIGTERM")
+def terminate_program(context: Any) -> None:
+    program = subprocess.Popen([sys.executable, "-c", START_CHILD_AND_WAIT], stdout=subprocess.PIPE)
     assert program.stdout is not None
     context.child = int(program.stdout.readline())
     program.terminate()
@@ -260,44 +260,44 @@
 
 
 @then("the run passes, runs nothing and names that scenario")
-def check_passed_over(context: Any) -> None:
+def check_skipped(context: Any) -> None:
     output = context.command.stdout + context.command.stderr
     assert context.command.returncode == 0, output
     assert f"known red, passed over: {context.listed}" in output, output
     assert context.command.stdout.rstrip().endswith("0 passed, 0 failed"), output
 
 
-@when("a stream brings output from one engine, breaks off and brings output from another")
+@when("a stream has output from one engine, breaks off and has output from another")
 def resume_stream(context: Any) -> None:
     context.mailbox = Mailbox()
-    place: Any = SimpleNamespace(
+    placement: Any = SimpleNamespace(
         services=SimpleNamespace(mailbox=context.mailbox),
         specification=SimpleNamespace(request_id="a/1"),
     )
     unused: Any = None
-    relay = Relay(unused, place, b"", unused, unused, prompt_tokens=100)
+    relay = Relay(unused, placement, b"", unused, unused, prompt_tokens=100)
     for _ in range(2):
         begin_attempt(relay)
         record_output(relay, 1)
         record_output(relay, 2)
 
 
-@then("the core has heard of a beginning {count:d} times")
-def check_beginnings(context: Any, count: int) -> None:
-    heard = []
+@then("the core has been notified of a first output {count:d} times")
+def check_first_outputs(context: Any, count: int) -> None:
+    received = []
     while (event := context.mailbox.receive(0.0)) is not None:
-        heard.append(event)
-    assert [type(event) for event in heard] == [events.ServiceObserved] * count, heard
+        received.append(event)
+    assert [type(event) for event in received] == [events.ServiceObserved] * count, received
 
 
 class _FailingCore:
-    """A core that can take nothing."""
+    """A core that fails on every event."""
 
     def handle(self, event: Any, now_s: float) -> list[Any]:
-        raise RuntimeError("cannot be taken")
+        raise RuntimeError("cannot be handled")
 
 
-FAULTY_INPUT = {
+INPUTS = {
     "a message of another router": events.MessageReceived(
         "r1", 1, MembersQuery(MemberRow("r1", "", 1, 0))
     ),
@@ -307,8 +307,8 @@
 }
 
 
-@when("the core cannot take {what}")
-def fail_at(context: Any, what: str) -> None:
+@when("the core fails on {name}")
+def fail_on_input(context: Any, name: str) -> None:
     context.counters = Counters(None)
     tickets = TicketRegistry()
     context.ticket = tickets.open("w0/1")
@@ -317,7 +317,7 @@
     task = CoreTask(core, Mailbox(), peers, lambda key: None, tickets, context.counters)
     context.fault = None
     try:
-        task._handle(FAULTY_INPUT[what])
+        task._handle(INPUTS[name])
     except RuntimeError as error:
         context.fault = error
 
@@ -328,25 +328,25 @@
     assert context.counters.values[name] == 1, context.counters.values
 
 
-@then("nobody is told")
-def check_untold(context: Any) -> None:
+@then("no request is refused")
+def check_none_refused(context: Any) -> None:
     assert context.ticket.wait(0.0) is None
 
 
-@then('its caller is refused: "{reason}"')
+@then('its client is refused: "{reason}"')
 def check_fault_refused(context: Any, reason: str) -> None:
     refused = context.ticket.wait(0.1)
     assert isinstance(refused, actions.Refuse), refused
     assert refused.reason == reason, refused
 
 
-@then("the fault is not swallowed")
+@then("the fault is raised")
 def check_fault_raised(context: Any) -> None:
     assert context.fault is not None
 
 
-@when("a process asks for the addresses of {count:d} fleets")
-def ask_addresses(context: Any, count: int) -> None:
+@when("a process reserves the addresses of {count:d} fleets")
+def reserve_addresses(context: Any, count: int) -> None:
     context.ips = [ip for _ in range(count) for ip in free_ips(5)]
 
 
--- a/tests/steps/serving_steps.py
+++ b/tests/steps/serving_steps.py
@@ -1,4 +1,4 @@
-"""Steps of callers: asking, and what the answers are."""
+"""Steps that send requests as clients do, and check the answers."""
 
 import json
 import threading
@@ -10,7 +10,7 @@
 from standins.network import http, wait_for
 
 
-def caller_of(context: Any, workspace: str) -> Caller:
+def make_caller(context: Any, workspace: str) -> Caller:
     return Caller(context.fleet.workspaces[workspace].key)
 
 
@@ -31,7 +31,7 @@
 
 
 def hold_engines(context: Any) -> None:
-    """Let every engine stand still after a run's first token, until ``release_engines``."""
+    """Pause every run on every engine after its first token, until ``release_engines``."""
     for program in context.fleet.engines.values():
         set_faults(program, {"hold_after": 1})
 
@@ -41,22 +41,22 @@
         set_faults(program, {})
 
 
-def keep(context: Any, result: Result, prompt: str = "", tokens: int = 0) -> Result:
+def record_result(context: Any, result: Result, prompt: str = "", tokens: int = 0) -> Result:
     context.result = result
     context.results.setdefault("all", []).append((result, prompt, tokens))
     return result
 
 
-def spawn(context: Any, target: Any, *arguments: Any) -> None:
+def start_thread(context: Any, target: Any, *arguments: Any) -> None:
     thread = threading.Thread(target=target, args=arguments, daemon=True)
     thread.start()
     context.threads.append(thread)
 
 
-def join_all(context: Any) -> None:
+def join_threads(context: Any) -> None:
     for thread in context.threads:
         thread.join(90)
-        assert not thread.is_alive(), "a caller still waits for its answer"
+        assert not thread.is_alive(), "a client still waits for its answer"
 
 
 def expected_text(prompt: str, tokens: int) -> str:
@@ -66,75 +66,77 @@
 @when('"{workspace}" asks router {number:d} for {tokens:d} tokens about "{word}"')
 def ask(context: Any, workspace: str, number: int, tokens: int, word: str) -> None:
     address = router(context, number).address
-    keep(context, caller_of(context, workspace).chat(address, word, tokens), word, tokens)
+    record_result(
+        context, make_caller(context, workspace).chat(address, word, tokens), word, tokens
+    )
 
 
 @when('"{workspace}" streams {tokens:d} tokens about "{word}" from router {number:d}')
 def stream(context: Any, workspace: str, tokens: int, word: str, number: int) -> None:
     address = router(context, number).address
-    result = caller_of(context, workspace).chat(address, word, tokens, stream=True)
-    keep(context, result, word, tokens)
+    result = make_caller(context, workspace).chat(address, word, tokens, stream=True)
+    record_result(context, result, word, tokens)
 
 
 @when("every workspace asks every router for {tokens:d} tokens")
 def ask_everywhere(context: Any, tokens: int) -> None:
     for workspace in context.fleet.workspaces:
         for program in context.fleet.routers.values():
-            result = caller_of(context, workspace).chat(program.address, workspace, tokens)
-            keep(context, result, workspace, tokens)
+            result = make_caller(context, workspace).chat(program.address, workspace, tokens)
+            record_result(context, result, workspace, tokens)
 
 
 @when('"{workspace}" asks router {number:d} for {tokens:d} tokens with request id "{request_id}"')
 def ask_with_id(context: Any, workspace: str, number: int, tokens: int, request_id: str) -> None:
     headers = {"X-Request-Id": request_id}
     address = router(context, number).address
-    result = caller_of(context, workspace).chat(address, "hello", tokens, headers=headers)
-    keep(context, result, "hello", tokens)
+    result = make_caller(context, workspace).chat(address, "hello", tokens, headers=headers)
+    record_result(context, result, "hello", tokens)
 
 
 @when('"{first}" and "{second}" both ask for {tokens:d} tokens with request id "{request_id}"')
 def ask_both(context: Any, first: str, second: str, tokens: int, request_id: str) -> None:
     for workspace in (first, second):
-        spawn(context, _ask_named, context, workspace, tokens, request_id)
-    join_all(context)
+        start_thread(context, _ask_with_id, context, workspace, tokens, request_id)
+    join_threads(context)
 
 
 @when('"{workspace}" asks twice at once for {tokens:d} tokens with request id "{request_id}"')
 def ask_twice(context: Any, workspace: str, tokens: int, request_id: str) -> None:
     for _ in range(2):
-        spawn(context, _ask_named, context, workspace, tokens, request_id)
-    join_all(context)
+        start_thread(context, _ask_with_id, context, workspace, tokens, request_id)
+    join_threads(context)
 
 
-def _ask_named(context: Any, workspace: str, tokens: int, request_id: str) -> None:
+def _ask_with_id(context: Any, workspace: str, tokens: int, request_id: str) -> None:
     headers = {"X-Request-Id": request_id}
     address = router(context, 1).address
-    result = caller_of(context, workspace).chat(address, workspace, tokens, headers=headers)
-    keep(context, result, workspace, tokens)
+    result = make_caller(context, workspace).chat(address, workspace, tokens, headers=headers)
+    record_result(context, result, workspace, tokens)
 
 
 @when('"{workspace}" sends "{method}" "{path}" to router {number:d}')
 def send(context: Any, workspace: str, method: str, path: str, number: int) -> None:
     address = router(context, number).address
-    keep(context, caller_of(context, workspace).send(address, method, path, b"body"))
+    record_result(context, make_caller(context, workspace).send(address, method, path, b"body"))
 
 
 @when('a caller with key "{key}" asks router {number:d}')
 def ask_with_key(context: Any, key: str, number: int) -> None:
-    keep(context, Caller(key).chat(router(context, number).address, "hello"))
+    record_result(context, Caller(key).chat(router(context, number).address, "hello"))
 
 
 @when('"{workspace}" asks router {number:d} for model "{model}"')
 def ask_model(context: Any, workspace: str, number: int, model: str) -> None:
     address = router(context, number).address
-    keep(context, caller_of(context, workspace).chat(address, "hello", model=model))
+    record_result(context, make_caller(context, workspace).chat(address, "hello", model=model))
 
 
 @when('"{workspace}" asks router {number:d} with the header "{name}" as "{value}"')
 def ask_with_header(context: Any, workspace: str, number: int, name: str, value: str) -> None:
     address = router(context, number).address
-    result = caller_of(context, workspace).chat(address, "hello", 8, headers={name: value})
-    keep(context, result, "hello", 8)
+    result = make_caller(context, workspace).chat(address, "hello", 8, headers={name: value})
+    record_result(context, result, "hello", 8)
 
 
 @when('"{workspace}" posts the body {body} to router {number:d}')
@@ -146,7 +148,7 @@
         content = b"[" * 100_000
     address = router(context, number).address
     path = "/v1/chat/completions"
-    keep(context, caller_of(context, workspace).send(address, "POST", path, content))
+    record_result(context, make_caller(context, workspace).send(address, "POST", path, content))
 
 
 @when('"{workspace}" posts {size:d} MB to router {number:d}')
@@ -154,7 +156,7 @@
     content = b"x" * (size * 1024 * 1024)
     address = router(context, number).address
     path = "/v1/chat/completions"
-    keep(context, caller_of(context, workspace).send(address, "POST", path, content))
+    record_result(context, make_caller(context, workspace).send(address, "POST", path, content))
 
 
 @then('the answer has status {status:d} and outcome "{outcome}"')
@@ -190,10 +192,10 @@
 
 
 @then("every answer is the caller's own and completed")
-def check_all(context: Any) -> None:
-    # Only now: what was on its way when a router was told to stop still is.
+def check_all_completed(context: Any) -> None:
+    # Requests that were in progress when a router received SIGTERM must still be so until here.
     release_engines(context)
-    join_all(context)
+    join_threads(context)
     results = context.results["all"]
     assert results, "no answer came"
     for result, prompt, tokens in results:
@@ -259,7 +261,7 @@
 
 @then('router {number:d} still serves "{workspace}"')
 def check_serves(context: Any, number: int, workspace: str) -> None:
-    result = caller_of(context, workspace).chat(router(context, number).address, "still", 2)
+    result = make_caller(context, workspace).chat(router(context, number).address, "still", 2)
     assert result.text == expected_text("still", 2), result
 
 
--- a/tests/steps/soak_steps.py
+++ b/tests/steps/soak_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the randomized soak, and of its checks."""
+"""Steps that run the randomized soak, and test its checks."""
 
 import hashlib
 from collections.abc import Callable
@@ -27,14 +27,12 @@
     context.result = play(Order(seed, seconds, endings=True))
 
 
-@when("the soak plays seed {seed:d} for {seconds:g} s, engines end, and servers tell of themselves")
+@when("the soak plays seed {seed:d} for {seconds:g} s, engines end, and servers send notices")
 def play_notices(context: Any, seed: int, seconds: float) -> None:
     context.result = play(Order(seed, seconds, endings=True, notices=True))
 
 
-@when(
-    "the soak plays seed {seed:d} for {seconds:g} s, servers tell of themselves, the store returns"
-)
+@when("the soak plays seed {seed:d} for {seconds:g} s, servers send notices, the store is restored")
 def play_copies(context: Any, seed: int, seconds: float) -> None:
     context.result = play(Order(seed, seconds, notices=True, copies=True))
 
@@ -44,7 +42,7 @@
     context.result = play(Order(seed, seconds, endings=True, notices=True, copies=True))
 
 
-@then("no promise was broken, and callers were served")
+@then("no promise was broken, and clients were served")
 def check_result(context: Any) -> None:
     assert not context.result.violations, context.result
     assert context.result.statuses.get(200, 0) > 0, context.result
@@ -59,7 +57,7 @@
     )
 
 
-def _check(seen: Seen, runs: dict[str, int]) -> list[Violation]:
+def _find_violations(seen: Seen, runs: dict[str, int]) -> list[Violation]:
     found = check_answers([seen], [SERVER])
     found += check_runs([seen], runs)
     return found + check_in_time([seen], [], {ROUTER: "edge-1"}, 0.0)
@@ -67,10 +65,10 @@
 
 @then("the checks find nothing")
 def check_nothing(context: Any) -> None:
-    assert not _check(context.whole, {"x1": 1})
+    assert not _find_violations(context.whole, {"x1": 1})
 
 
-SPOILT: dict[str, Callable[[Seen], tuple[Seen, dict[str, int]]]] = {
+FAULTY_OUTCOMES: dict[str, Callable[[Seen], tuple[Seen, dict[str, int]]]] = {
     "seal": lambda whole: (replace(whole, seal="other"), {"x1": 1}),
     "events": lambda whole: (replace(whole, event_ids=[1, 3]), {"x1": 1}),
     "id": lambda whole: (replace(whole, shown_id="x2"), {"x1": 1}),
@@ -83,26 +81,30 @@
 }
 
 
-@then("each of these is found when it is spoilt")
-def check_spoilt(context: Any) -> None:
-    assert {row["fault"] for row in context.table} == set(SPOILT)
+@then("each of these faults breaks its promise")
+def check_each_fault(context: Any) -> None:
+    assert {row["fault"] for row in context.table} == set(FAULTY_OUTCOMES)
     for row in context.table:
-        found = _check(*SPOILT[row["fault"]](context.whole))
+        found = _find_violations(*FAULTY_OUTCOMES[row["fault"]](context.whole))
         promises = [violation.promise for violation in found]
         assert any(promise.startswith(row["promise"]) for promise in promises), (row, found)
 
 
-TURNED_AWAY = Fault(0.0, 9.0, "notice", "turns_away", SERVER)
+BACKING_OFF = Fault(0.0, 9.0, "notice", "turns_away", SERVER)
 PAUSED = Fault(0.0, 9.0, "router", "pause", "edge-1")
-CUT = Fault(0.0, 9.0, "server_link", "one_way", SERVER)
+LINK_CUT = Fault(0.0, 9.0, "server_link", "one_way", SERVER)
 
 
 def _check_arrivals(
-    arrivals: list[tuple[str, float]], told: list[str], *faults: Fault, sealed_by: str = SERVER
+    arrivals: list[tuple[str, float]],
+    notified_ids: list[str],
+    *faults: Fault,
+    sealed_by: str = SERVER,
 ) -> list[Violation]:
-    """Check requests that reached the server, each sent as it arrived, the first turned away.
+    """Check requests that reached the server, each sent as it arrived, the first one refused.
 
-    :param sealed_by: whose answers their callers got.
+    :param notified_ids: the requests whose answers said that the server leaves.
+    :param sealed_by: the server whose answers the clients received.
     """
     seen = [
         Seen(
@@ -112,7 +114,7 @@
             at_s,
             at_s,
             seal=make_seal(sealed_by, name),
-            server_leaves=name in told,
+            server_leaves=name in notified_ids,
         )
         for name, at_s in arrivals
     ]
@@ -121,28 +123,28 @@
     return check_notices(seen, site, Struck(faults, 0.0), {ROUTER: "edge-1"})
 
 
-FOUR = [("a", 1.0), ("b", 1.6), ("c", 1.7), ("d", 1.8)]
-LATE = [("a", 1.0), ("b", 3.1)]
+WITHIN_BACKOFF = [("a", 1.0), ("b", 1.6), ("c", 1.7), ("d", 1.8)]
+AFTER_NOTICE = [("a", 1.0), ("b", 3.1)]
 
 
-@then("3 requests within what a server asked for are found, and 2 are not")
+@then("3 requests within a server's back-off are found, and 2 are not")
 def check_early(context: Any) -> None:
-    assert len(_check_arrivals(FOUR, [], TURNED_AWAY)) == 1
-    assert not _check_arrivals(FOUR[:3], [], TURNED_AWAY)
-    assert not _check_arrivals([*FOUR[:3], ("d", 2.6)], [], TURNED_AWAY)
+    assert len(_check_arrivals(WITHIN_BACKOFF, [], BACKING_OFF)) == 1
+    assert not _check_arrivals(WITHIN_BACKOFF[:3], [], BACKING_OFF)
+    assert not _check_arrivals([*WITHIN_BACKOFF[:3], ("d", 2.6)], [], BACKING_OFF)
 
 
-@then("a request 2 s after its router passed on that the server leaves is found")
+@then("a request 2 s after its router forwarded that the server leaves is found")
 def check_late(context: Any) -> None:
-    assert len(_check_arrivals(LATE, ["a"])) == 1
+    assert len(_check_arrivals(AFTER_NOTICE, ["a"])) == 1
     assert not _check_arrivals([("a", 1.0), ("b", 2.9)], ["a"])
-    assert not _check_arrivals(LATE, [])
-    # The server turned it away, and another one that leaves has answered.
-    assert not _check_arrivals(LATE, ["a"], sealed_by="i-engine-2")
+    assert not _check_arrivals(AFTER_NOTICE, [])
+    # The server refused the first request, and another server, which leaves, answered it.
+    assert not _check_arrivals(AFTER_NOTICE, ["a"], sealed_by="i-engine-2")
 
 
-@then("neither is found where its router was paused, or the way to its server was struck")
+@then("neither is found where its router was paused, or the link to its server was cut")
 def check_excused(context: Any) -> None:
-    for excuse in (PAUSED, CUT):
-        assert not _check_arrivals(FOUR, [], TURNED_AWAY, excuse)
-        assert not _check_arrivals(LATE, ["a"], excuse)
+    for excuse in (PAUSED, LINK_CUT):
+        assert not _check_arrivals(WITHIN_BACKOFF, [], BACKING_OFF, excuse)
+        assert not _check_arrivals(AFTER_NOTICE, ["a"], excuse)
--- a/tests/steps/start_stop_steps.py
+++ b/tests/steps/start_stop_steps.py
@@ -1,4 +1,4 @@
-"""Steps of routers on the emulated platform that start and stop while callers come."""
+"""Steps that start and stop routers on the emulated platform while clients connect."""
 
 import json
 import signal
@@ -22,7 +22,7 @@
 """
 
 
-def _ask(context: Any, router: int, workspace: str) -> Attempt:
+def _send_request(context: Any, router: int, workspace: str) -> Attempt:
     return send(node(context, router), "GET", "/setpoint/a", make_headers(new_id(), workspace))
 
 
@@ -30,9 +30,9 @@
     'router {router:d} serves "{workspace}" or refuses with a time to come back, '
     "and refuses in the end"
 )
-def check_refusing(context: Any, router: int, workspace: str) -> None:
+def check_refuses_eventually(context: Any, router: int, workspace: str) -> None:
     def refuses() -> bool:
-        attempt = _ask(context, router, workspace)
+        attempt = _send_request(context, router, workspace)
         assert not attempt.broken, attempt
         assert attempt.status in (200, 503), attempt
         assert attempt.status == 200 or "Retry-After" in attempt.headers, attempt
@@ -42,18 +42,18 @@
 
 
 @when("callers connect to router 1 from the moment on at which it is started again")
-def start_again(context: Any) -> None:
+def restart_while_connecting(context: Any) -> None:
     old = node(context, 1)
     old.process.send_signal(signal.SIGKILL)
     old.process.wait()
-    ips = [found.ip for found in context.nodes.nodes]
-    fresh = context.nodes.start_node(old.name, old.ip, ips)
-    context.nodes.nodes.remove(fresh)
-    context.nodes.nodes[0] = fresh
+    ips = [item.ip for item in context.nodes.nodes]
+    restarted = context.nodes.start_node(old.name, old.ip, ips)
+    context.nodes.nodes.remove(restarted)
+    context.nodes.nodes[0] = restarted
     context.attempts = []
 
     def served() -> bool:
-        context.attempts.append(_ask(context, 1, "planners"))
+        context.attempts.append(_send_request(context, 1, "planners"))
         return context.attempts[-1].status == 200
 
     wait_for(served, "an answer")
@@ -61,17 +61,17 @@
 
 @then("none of them finds no listener once one has found it")
 def check_listener(context: Any) -> None:
-    found = [not attempt.broken for attempt in context.attempts]
-    assert found == sorted(found), context.attempts
+    connected = [not attempt.broken for attempt in context.attempts]
+    assert connected == sorted(connected), context.attempts
     assert all(attempt.status in (0, 200, 503) for attempt in context.attempts), context.attempts
 
 
-@then('a start imports at most {most:d} modules, and none of "{names}"')
-def check_imports(context: Any, most: int, names: str) -> None:
+@then('a start imports at most {limit:d} modules, and none of "{names}"')
+def check_imports(context: Any, limit: int, names: str) -> None:
     printed = subprocess.run(
         [sys.executable, "-W", "ignore", "-c", COUNT_MODULES], capture_output=True, check=True
     )
     modules = json.loads(printed.stdout)
     packages = {name.partition(".")[0] for name in modules}
     assert not packages.intersection(names.split(", ")), packages.intersection(names.split(", "))
-    assert len(modules) <= most, len(modules)
+    assert len(modules) <= limit, len(modules)
