--- a/tests/features/failures.feature
+++ b/tests/features/failures.feature
@@ -48,11 +48,11 @@
     And it came within 20 seconds
 
   @fleet.3x1
-  Scenario: A frozen router doubles nothing and tells no lie when it wakes
+  Scenario: A router that was frozen repeats no call and reports true outcomes when it resumes
     Given 12 calls not to be repeated are on their way at router 1
     When router 1 is frozen for 3 seconds
     Then no call ran more than once
-    And every call that was not run did not run
+    And every call reported as not run did not run
     And every call that completed ran once
     And router 1 still serves "planners"
 
@@ -71,7 +71,7 @@
     And router 2 still serves "control-room"
 
   @fleet.3x2
-  Scenario: An engine that refuses a run because it leaves is asked no more, whatever it reports
+  Scenario: An engine that refuses a run because it leaves gets no more requests, whatever it reports
     Given "planners" keeps 10 callers at every router
     When engine 1 refuses runs because it leaves, and its load report never says so
     Then engine 1 is asked for nothing new after 2 seconds
@@ -103,7 +103,7 @@
     Then engine 1 reports version "v2" with the fence of the configuration
 
   @fleet.2x1
-  Scenario: Owners on both sides of a cut never take an order back
+  Scenario: Owners on both sides of a partition never revert an order
     Given the configuration orders engine 1 to serve version "v2"
     And engine 1 reports version "v2" with the fence of the configuration
     And router 1 is cut off from the others
@@ -112,7 +112,7 @@
     Then engine 1 reports version "v3" with the fence of the configuration
     And engine 1 keeps version "v3" for 3 seconds
 
-  Scenario: What a router comes to believe of another is told with its cause
+  Scenario: A router reports each state that it gives another router, with the cause
     Given a router's core that knows one live router
-    When that one answers nothing for 2 seconds
-    Then the core has told that it is "alive: told", "suspect: unanswered" and "dead: unrefuted"
+    When the other router answers nothing for 2 seconds
+    Then the core has reported the other router as "alive: told", "suspect: unanswered" and "dead: unrefuted"
--- a/tests/features/passing.feature
+++ b/tests/features/passing.feature
@@ -1,5 +1,5 @@
 Feature: Neighbours serve callers of a router that is short of processor time
-  Only bytes cross the busy router: its neighbour decides, sends and answers.
+  The busy router only relays bytes: its neighbour places, sends and answers the request.
 
   @nodes.3.busy
   Scenario Outline: A request of each kind is answered whole by a neighbour
@@ -7,7 +7,7 @@
     When "planners" sends "<method>" "<path>" with "<tokens>" tokens to router 1
     Then the attempt has status 200 and a seal
     And the attempt was run 1 time
-    And exactly 1 router has told of the attempt's end, and not router 1
+    And exactly 1 router has logged the attempt's end, and not router 1
 
     Examples:
       | method | path         | tokens |
@@ -29,14 +29,14 @@
     Given router 1 knows its neighbours
     When "planners" sends "POST" "/diagnosis/a" with "900,30" tokens to router 1
     Then the attempt has status 200 and a seal
-    And router 1 alone has told of the attempt's end
+    And router 1 alone has logged the attempt's end
 
   @nodes.3.all-busy
   Scenario: A connection is passed on once, also among routers that are all busy
     Given router 2 knows its neighbours
     When "planners" sends "POST" "/diagnosis/a" with "900,30" tokens to router 2
     Then the attempt has status 200 and a seal
-    And exactly 1 router has told of the attempt's end, and not router 2
+    And exactly 1 router has logged the attempt's end, and not router 2
 
   @nodes.1.busy
   Scenario: A busy router without neighbours serves its callers itself
@@ -91,7 +91,7 @@
       | an introduction for router 3             |
       | an introduction that never ends          |
 
-  Scenario Outline: Bytes cross whole and in order, however slowly they are taken
+  Scenario Outline: Bytes are relayed whole and in order, however slowly they are read
     When a <slow> takes <kilobytes> KB through two connections that are joined
     Then all of it arrives in order, and the end as well
 
@@ -104,14 +104,14 @@
     When one of two joined connections is reset
     Then the other one is reset as well
 
-  Scenario: Neighbours of the own availability zone are asked, the less burdened first
+  Scenario: Neighbours of the own availability zone are asked, the less loaded first
     When a router passes 600 connections on with 6 neighbours near and 6 far
     Then all go to near neighbours, none of which has over 1.5 times the mean
-    And a neighbour that is short is left alone for a second
+    And a neighbour that is short of processor time is not asked for a second
 
   Scenario: While the whole own availability zone is short, routers of other zones are asked
     When a router passes 60 connections on with 2 neighbours near and 6 far
-    And all near neighbours are short
+    And all near neighbours are short of processor time
     Then the next 60 connections go to far neighbours, none of which has over 2 times the mean
     And a second later near neighbours are asked first again
 
@@ -120,27 +120,29 @@
     And with a busy part of 0.725 it passes on 50 of 100 connections
     And with a busy part of 0.9 it passes on 100 of 100 connections
 
-  Scenario: Thresholds that an operator sets alike are a step
+  Scenario: Two equal thresholds make a step from no to all connections
     Then with both thresholds at 0.8 a router passes on none of 10 connections at 0.79 and all at 0.81
 
-  Scenario: A neighbour wrongly taken for dead still answers what was passed on to it
+  Scenario: A neighbour wrongly considered dead still answers what was passed on to it
     Given a neighbour serves a caller's request that was passed on
-    When the neighbour is taken for dead
+    When the neighbour is considered dead
     And the neighbour answers and ends the connection
     Then the caller has the whole answer
 
-  Scenario: What a neighbour serves is broken off once it has been dead for a while
+  Scenario: A passed connection is reset once its neighbour has been dead for a while
     Given a neighbour serves a caller's request that was passed on
-    When the neighbour has been taken for dead for 3 seconds
-    Then the caller's connection is reset, and the neighbour's end is counted
+    When the neighbour has been considered dead for 3 seconds
+    Then the caller's connection is reset, and the neighbour's death is counted
 
-  # A router that accepted all waiting callers in one turn woke seconds late, and lost its callers.
-  Scenario: Callers that connect in a burst leave other tasks their turns
-    When 300 callers have connected before a router accepts the first one, and neighbours take all
+  # Guards against accepting all waiting connections in one turn of the event loop: other tasks
+  # of the router then ran seconds late, and its callers were lost.
+  Scenario: Callers that connect in a burst do not keep other tasks from their turns
+    When 300 callers have connected before a router accepts the first one, and neighbours accept all
     Then between two turns of another task at most 11 of them are accepted
 
-  # A late router took neighbours' answers that had come in time for silence, and served the callers itself.
+  # Guards against a router whose event loop runs late: it considered a neighbour silent whose
+  # answer had come in time, and served the callers itself.
   Scenario: A neighbour's answer that came in time counts, however late the router reads it
-    Given a neighbour that has taken a connection 10 ms after it was asked
-    When the router's loop stands still beyond the time that a neighbour has to answer
+    Given a neighbour that has accepted a connection 10 ms after it was asked
+    When the router's event loop is blocked for longer than a neighbour has to answer
     Then the neighbour serves the caller, and no answer is counted as missing
--- a/tests/features/platform.feature
+++ b/tests/features/platform.feature
@@ -1,6 +1,6 @@
 @nodes.2
 Feature: The router serves the users' platform
-  Routers and the emulated platform are processes of their own; nobody lists routers.
+  Routers and the emulated platform run as processes of their own; no configuration lists routers.
 
   Scenario Outline: A request of each kind is answered whole, with the server's seal
     When "planners" sends "<method>" "<path>" with "<tokens>" tokens to router <router>
@@ -21,7 +21,7 @@
     And the server saw its own instance expected
     And the server did not see "Authorization"
 
-  Scenario Outline: Headers that only the router sets never cross, and cost their caller nothing
+  Scenario Outline: Headers that only the router sets are never forwarded, and their request is still served
     Given <trouble>
     When "planners" sends "<method>" "<path>" with headers that only the router sets
     Then the attempt has status 200 and a seal
@@ -42,7 +42,7 @@
     Then the attempt has status 200 and a seal
     And the body that came back ends with "one two three"
 
-  Scenario Outline: What cannot be served is told by its status
+  Scenario Outline: A request that cannot be served gets a status that says why
     When "<workspace>" sends "GET" "<path>" with "" tokens to router 1
     Then the attempt has status <status> and no seal
     And the attempt was run 0 times
@@ -57,7 +57,7 @@
     Then the attempt has status 200 and a seal
     And the server did not see "Tenant-Name"
 
-  Scenario Outline: A head that two readers might take differently is refused
+  Scenario Outline: A head that two parsers might read differently is refused
     When a caller sends the head "<head>" to router 1
     Then the raw answer has status <status>
 
@@ -106,22 +106,22 @@
     Then the attempt has status 200 and a seal
     And the attempt was run 2 times
 
-  Scenario: The operator's tool tells a failed request's story from the logs
+  Scenario: The operator's tool explains a failed request from the logs
     Given server "i-desk-1" loses 1 answer
     When "planners" sends "POST" "/valve/a" with "" tokens to router 1
     Then the tool explains the attempt with "answer_broken" before "status 502"
 
-  Scenario: The operator's tool tells what was lost, and where, from the logs
+  Scenario: The operator's tool reports what was lost, and where, from the logs
     Given server "i-desk-1" loses 1 answer
     When "planners" sends "POST" "/valve/a" with "" tokens to router 1
     And "a-stranger" sends "GET" "/setpoint/a" with "" tokens to router 2
-    Then the tool's losses tell of "valve" and "planners" the reason "status 502: backend_broken"
+    Then the tool's losses list "valve" and "planners" with the reason "status 502: backend_broken"
     And the tool's losses name the attempts to explain
     And the tool draws its losses
 
-  Scenario: A request's last log line tells its size as shares count it
+  Scenario: A request's last log line has its size as shares count it
     When "planners" sends "POST" "/diagnosis/a" with "900,60" tokens to router 1
-    Then the log of router 1 tells "request ended" with "share_tokens" 1020
+    Then the log of router 1 has "request ended" with "share_tokens" 1020
 
   Scenario: A resumable stream goes on at another server from its last whole event
     Given the next stream breaks off after 4 events
@@ -132,9 +132,9 @@
   Scenario: A broken stream that cannot be resumed never looks complete
     Given the next stream breaks off after 4 events
     When "planners" sends "POST" "/summary/a" with "900,60" tokens to router 1
-    Then the answer ended without its proper end
+    Then the answer broke off before its end
 
-  Scenario: An answer with another request's id reaches nobody
+  Scenario: An answer with another request's id reaches no caller
     Given every engine answers 1 request under a wrong id
     When "planners" sends "POST" "/summary/a" with "900,30" tokens to router 1
     Then the attempt has status 502 and no seal
@@ -149,7 +149,7 @@
     When "planners" opens a stream at router 1 and leaves after the first event
     Then the engines cancel that run
 
-  Scenario: Callers that leave do not make a server suspect
+  Scenario: Callers that leave do not get a server ejected
     Given every engine is silent
     When "planners" leaves 7 requests at router 1 once an engine runs them
     Then the engines cancel that run
@@ -182,7 +182,7 @@
     When the operator publishes "{ no configuration"
     And "planners" sends "GET" "/setpoint/a" with "" tokens to router 1
     Then the attempt has status 200 and a seal
-    And the log of router 1 tells "configuration rejected"
+    And the log of router 1 has "configuration rejected"
 
   Scenario: A new version is in force at every router, also after history was lost
     When the store forgets its history
@@ -194,10 +194,10 @@
     When "planners" sends "GET" "/setpoint/a" with "" tokens to router 2
     Then the attempt has status 200 and a seal
 
-  Scenario: Answers of the store that make no sense change nothing, and pass
+  Scenario: Invalid answers of the store change nothing, and later valid ones are applied
     Given the store answers nonsense
     When the operator publishes version 9 with every route
-    And the log of router 1 tells "the answer makes no sense"
+    And the log of router 1 has "the answer makes no sense"
     And "planners" sends "GET" "/setpoint/a" with "" tokens to router 1
     Then the attempt has status 200 and a seal
     When the store makes sense again
@@ -208,47 +208,47 @@
     And "planners" sends 8 requests to "/summary/a" through both routers
     Then server "i-engine-1" ran none of them
 
-  Scenario: The metrics address tells counters
+  Scenario: The metrics address reports counters
     When "a-stranger" sends "GET" "/setpoint/a" with "" tokens to router 1
     Then the metrics of router 1 count "refusal.unauthenticated"
 
-  Scenario: The metrics address and the log tell what an owner believes of its engines
+  Scenario: The metrics address and the log report an owner's estimates of its engines
     When "planners" sends 8 requests to "/summary/a" through both routers
     Then the metrics of some router give "i-engine-1" a rate, a delay and a window
-    And the log of some router tells what "admission granted" rested on
+    And the log of some router has the estimates behind "admission granted"
 
-  Scenario: Changed settings are taken while a stream runs, and bad ones change nothing
+  Scenario: Changed settings are applied while a stream runs, and invalid ones change nothing
     Given every engine holds its streams after 2 events
     When "planners" opens a stream at router 1
-    And the settings of router 1 turn bad and it is told so
-    And the settings of router 1 name the seed "127.0.0.9:4000" and it is told so
-    Then the log of router 1 tells "settings reloaded"
+    And the settings of router 1 become invalid and it is signalled to reload them
+    And the settings of router 1 name the seed "127.0.0.9:4000" and it is signalled to reload them
+    Then the log of router 1 has "settings reloaded"
     And the stream goes on to its whole end once the engines go on
 
-  Scenario: Failures that a plain service answers itself do not make it suspect
+  Scenario: Error answers of a plain service do not get its server ejected
     Given server "i-desk-1" answers 5 requests with a failure of its own
     When "planners" sends 5 requests to "/valve/a" through router 1
     Then every one of them has status 500 and a seal
     And "planners" is served at "/valve/a" by router 1 at once
 
-  Scenario: A server that breaks off again and again gets nothing for a while
+  Scenario: A server that keeps losing its answers is ejected
     Given server "i-desk-1" loses 6 answers
     When "planners" sends 6 requests to "/valve/a" through router 1
-    Then the log of router 1 or 2 tells "ejected"
+    Then the log of router 1 or 2 has "ejected"
 
-  Scenario: A workspace's own priority comes before the route's
+  Scenario: A workspace's own priority overrides the route's
     When the configuration gives "planners" the priority 0
     Then a request of "planners" on a route of priority 1 has the priority 0
     And a request of "dispatch" on a route of priority 1 has the priority 1
 
   @nodes.1.empty
-  Scenario: Without a configuration a router says that it knows none
+  Scenario: A router without a configuration refuses requests and is not ready
     When "planners" sends "GET" "/setpoint/a" with "" tokens to router 1
     Then the attempt has status 503 and a time to come back
     And router 1 is not ready
 
   @nodes.1.small
-  Scenario: Resting connections beyond half of what fits do not keep new callers out
+  Scenario: Idle connections beyond half of the limit do not keep new callers out
     When 150 callers ask for "/nowhere/a" at router 1 and keep their connections open
     Then some of their connections were ended after the answer
     When "planners" sends "GET" "/setpoint/a" with "" tokens to router 1
@@ -263,6 +263,6 @@
       | 150    | 4100        | 1120        |
       | 552    | 4100        | 3500        |
 
-  Scenario: Bad settings are all found at once
+  Scenario: All invalid settings are reported at once
     When a router starts with the settings "IpAddress=here;Zone;NodeName=n"
     Then it ends with status 2 and names "IpAddress, line 2, ListenAddresses, Platform"
--- a/tests/features/refusals.feature
+++ b/tests/features/refusals.feature
@@ -27,7 +27,7 @@
       | \xff\xfe not UTF-8                        |
       | [[[[[[[[nested 100000 deep                |
 
-  Scenario: Every finding in a body is told at once
+  Scenario: All errors in a body are reported at once
     When "planners" posts the body {"messages": [], "max_tokens": 0} to router 1
     Then the error names "model"
     And the error names "messages"
@@ -67,15 +67,15 @@
     When a caller with key "nobody" asks router 2
     Then router 2 counts "refusal.unauthenticated" at least 1
 
-  Scenario: A request that cannot be run in time is refused at once with when to come back
+  Scenario: A request that cannot be run in time is refused at once, with a time to come back
     Given "planners" keeps 30 requests of 40 tokens waiting at router 1
     When "planners" asks router 1 with the header "X-Timeout-Ms" as "300"
     Then the answer is a refusal with status 503 and reason "deadline_unreachable" or "deadline_passed"
     And the answer says when to come back
     And it came within 2 seconds
 
-  Scenario: A connection over the bound is told so, and others go on
-    Given a router that takes 2 connections
+  Scenario: A connection over the limit is refused with a reason until one is closed
+    Given a router that accepts 2 connections
     When 2 connections to it are held open
     Then a third is refused with status 503 and reason "connections_full"
-    And the router takes a connection again once one is closed
+    And the router accepts a connection again once one is closed
--- a/tests/features/repeats.feature
+++ b/tests/features/repeats.feature
@@ -1,5 +1,5 @@
 @fleet.2x1
-Feature: What was not run was not run, and what must not be repeated runs at most once
+Feature: Calls reported as not run did not run, and calls not to be repeated run at most once
 
   Scenario: A call that the service did not start is tried again
     Given the plain service does not start the next 1 calls
@@ -8,7 +8,7 @@
     And the plain service ran "planners/try-1" 1 times
     And router 1 counts "retry.server_refused" at least 1
 
-  Scenario: A call that the service turned away for a time is sent again when that is over
+  Scenario: A call that the service refused with a time to come back is sent again after that time
     Given the plain service turns the next 1 calls away for 1 s
     When "planners" calls the plain service at router 1 with request id "later-1"
     Then the answer has status 200 and outcome "completed"
@@ -45,7 +45,7 @@
     Then the answer has status 200 and outcome "completed"
     And the engine started "planners/refused-1" once
 
-  Scenario: An engine that keeps refusing ends in a refusal that says not run
+  Scenario: A request that the engine keeps refusing ends in a refusal with outcome not-run
     Given the engine refuses the next 50 runs
     When "planners" asks router 1 for 4 tokens with request id "refused-2"
     Then the answer is a refusal with status 503 and reason "retries_exhausted"
--- a/tests/features/streams.feature
+++ b/tests/features/streams.feature
@@ -44,7 +44,7 @@
     When a caller of "dispatch-desk" leaves router 1 while it waits
     Then the queue of "dispatch-desk" at router 1 is empty within 10 seconds
 
-  Scenario: An engine that accepts and dies before it answers is resumed, and runs once
+  Scenario: A request whose engine dies before it answers is resumed, and runs once
     Given the engine dies before the next answer
     When "control-room" asks router 1 for 8 tokens with request id "dies-1"
     Then the answer is the 8 tokens about "hello"
--- a/tests/standins/attempts.py
+++ b/tests/standins/attempts.py
@@ -1,4 +1,4 @@
-"""A caller of the routed interface: one attempt on a connection of its own."""
+"""A client of the routed interface, which sends each attempt on a connection of its own."""
 
 import http.client
 import itertools
@@ -14,14 +14,14 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One request and what came of it."""
+    """One request and its answer."""
 
     attempt_id: str
     status: int = 0
     headers: dict[str, str] = field(default_factory=dict)
     body: bytes = b""
     broken: bool = False
-    """The answer ended without its proper end."""
+    """Whether the connection failed or the answer broke off before its end."""
 
 
 def new_id() -> str:
@@ -50,11 +50,11 @@
     path: str,
     headers: dict[str, str],
     body: bytes = b"",
-    patience_s: float = TIMEOUT_S,
+    timeout_s: float = TIMEOUT_S,
 ) -> Attempt:
     """Send one request and read its answer to the end."""
     attempt = Attempt(headers.get("Attempt-Id", ""))
-    connection = http.client.HTTPConnection(node.ip, node.front_port, timeout=patience_s)
+    connection = http.client.HTTPConnection(node.ip, node.front_port, timeout=timeout_s)
     try:
         connection.request(method, path, body=body or None, headers=headers)
         response = connection.getresponse()
--- a/tests/standins/nodes.py
+++ b/tests/standins/nodes.py
@@ -1,4 +1,4 @@
-"""Starts the emulator and routers on it as plain processes, and stops them."""
+"""Starts and stops the emulated platform and routers on it, each as a process."""
 
 import http.client
 import itertools
@@ -20,9 +20,9 @@
 ROOT = Path(__file__).parent.parent.parent
 START_S = 30.0
 PORT_NAMES = ("front", "ready", "control", "peer", "helping")
-ADDRESSES_A_FLEET = 10
-FLEETS_AT_ONCE = 25
-"""That have addresses of their own; those of a fleet that has ended are used again."""
+ADDRESSES_PER_FLEET = 10
+MAX_CONCURRENT_FLEETS = 25
+"""The number of fleets with separate addresses; later ones reuse those of fleets that ended."""
 
 _FLEETS = itertools.count()
 
@@ -51,31 +51,37 @@
     ports: dict[str, int] = field(default_factory=dict)
     memory_mb: int = 512
     services: int = 1
-    """Servers of the plain service."""
+    """The number of servers of the plain service."""
     stores: dict[str, str] = field(default_factory=dict)
-    """By router, another way to the store."""
+    """By router name, the address of the store where it is not the emulator's own."""
     options: dict[str, dict[str, Any]] = field(default_factory=dict)
-    """By router, options of the core that differ from their defaults."""
+    """By router name, the core options that differ from their defaults."""
 
     def start(self, routers: int, engines: int = 2, empty: bool = False) -> None:
-        """Start everything, and wait until all routers answer; ``empty``: no configuration."""
+        """Start the emulator and the routers, and wait until all routers answer.
+
+        :param empty: whether the store has no configuration; routers are then not ready.
+        """
         options = ["--engines", str(engines), "--services", str(self.services)]
         options += ["--empty"] if empty else []
         self.addresses = self.start_emulator(options)
         self.start_nodes(routers, 503 if empty else 200)
 
     def start_nodes(self, routers: int, readiness: int = 200) -> None:
-        """Start the routers, and wait until all answer."""
+        """Start the routers, and wait until all answer their readiness probe with a status."""
         ips = free_ips(routers)
-        self.ports = dict(zip(PORT_NAMES, _free_ports(ips, len(PORT_NAMES)), strict=True))
+        self.ports = dict(zip(PORT_NAMES, _find_free_ports(ips, len(PORT_NAMES)), strict=True))
         for number, ip in enumerate(ips, start=1):
             self.start_node(f"edge-{number}", ip, ips)
         self.wait_ready(readiness)
 
     def start_node(self, name: str, ip: str, ips: list[str]) -> Node:
-        """Start one router."""
+        """Start one router.
+
+        :param ips: the addresses of all routers; the first three are the seeds.
+        """
         path = self.folder / f"{name}.conf"
-        path.write_text(self.settings_text(name, ip, ips))
+        path.write_text(self.make_settings_text(name, ip, ips))
         log_path = self.folder / f"{name}.log"
         with log_path.open("ab") as log:
             process = start_process(
@@ -83,22 +89,22 @@
                 stdout=log,
                 stderr=log,
                 env=os.environ | {"MYRTLEHOOK_NODE_FILE": str(path)},
-                cwd=self._make_root(name),
+                cwd=self._make_working_directory(name),
             )
         self.processes.append(process)
         node = Node(name, ip, process, log_path, path, self.ports["front"], self.ports["ready"])
         self.nodes.append(node)
         return node
 
-    def _make_root(self, name: str) -> Path:
-        """Return the folder that a router starts in, with its options."""
+    def _make_working_directory(self, name: str) -> Path:
+        """Create a router's working directory with its options file, and return its path."""
         deploy = self.folder / name / "deploy"
         deploy.mkdir(parents=True, exist_ok=True)
         (deploy / "options.json").write_text(json.dumps(self.options.get(name, {})))
         return deploy.parent
 
-    def settings_text(self, name: str, ip: str, ips: list[str]) -> str:
-        """Return the text of a settings file."""
+    def make_settings_text(self, name: str, ip: str, ips: list[str]) -> str:
+        """Return the text of a router's settings file."""
         ports = self.ports
         seeds = ",".join(f"{seed}:{ports['control']}" for seed in ips[:3])
         lines = {
@@ -120,22 +126,22 @@
         return "".join(f"{key}={value}\n" for key, value in lines.items())
 
     def wait_ready(self, wanted: int = 200) -> None:
-        """Wait until every router answers its readiness question with a status."""
+        """Wait until every router answers its readiness probe with a status."""
         for node in self.nodes:
-            wait_for(partial(self._answers, node, wanted), f"{node.name} to answer {wanted}")
+            wait_for(partial(self._answers_with, node, wanted), f"{node.name} to answer {wanted}")
 
-    def _answers(self, node: Node, wanted: int) -> bool:
-        return self.readiness(node) == wanted
+    def _answers_with(self, node: Node, wanted: int) -> bool:
+        return self.fetch_readiness(node) == wanted
 
-    def readiness(self, node: Node) -> int:
-        """Return the status of a router's readiness; 0 without an answer."""
+    def fetch_readiness(self, node: Node) -> int:
+        """Return the status with which a router answers its readiness probe; 0 for no answer."""
         try:
             return fetch(node.ip, node.ready_port, "/v1/readiness")[0]
         except OSError:
             return 0
 
     def order(self, **order: Any) -> None:
-        """Change the emulated site."""
+        """Send an order to the emulator's control address, to change the emulated site."""
         ip, _, port = self.addresses["control"].rpartition(":")
         connection = http.client.HTTPConnection(ip, int(port), timeout=START_S)
         connection.request("POST", "/", json.dumps(order))
@@ -143,18 +149,18 @@
         connection.close()
 
     def describe(self) -> dict[str, Any]:
-        """Return what the emulated site has seen."""
+        """Return the state of the emulated site, and the requests that its servers recorded."""
         ip, _, port = self.addresses["control"].rpartition(":")
         described: dict[str, Any] = json.loads(fetch(ip, int(port), "/")[1])
         return described
 
     def count_runs(self, attempt_id: str) -> int:
-        """Return how often an attempt was run, at all servers together."""
+        """Return the number of times that an attempt was run, by all servers together."""
         servers = self.describe()["servers"].values()
         return sum(server["runs"].get(attempt_id, 0) for server in servers)
 
     def stop(self) -> None:
-        """End every process that was started."""
+        """Kill every process that was started."""
         for process in self.processes:
             if process.poll() is None:
                 process.send_signal(signal.SIGKILL)
@@ -177,7 +183,7 @@
 
 
 def fetch(ip: str, port: int, path: str) -> tuple[int, bytes]:
-    """Read one path."""
+    """Send a GET request; return the status and the body."""
     connection = http.client.HTTPConnection(ip, port, timeout=START_S)
     try:
         connection.request("GET", path)
@@ -188,28 +194,31 @@
 
 
 def free_ips(count: int) -> list[str]:
-    """Return loopback addresses of this process's own: the metrics port is fixed."""
+    """Return loopback addresses that depend on the process id.
+
+    The routers' metrics port is fixed, so fleets of concurrent processes need separate addresses.
+    """
     number = os.getpid()
-    first = ADDRESSES_A_FLEET * (1 + next(_FLEETS) % FLEETS_AT_ONCE)
+    first = ADDRESSES_PER_FLEET * (1 + next(_FLEETS) % MAX_CONCURRENT_FLEETS)
     network = f"127.{number >> 8 & 255}.{number & 255}"
     return [f"{network}.{last}" for last in range(first, first + count)]
 
 
-def _free_ports(ips: list[str], count: int) -> list[int]:
+def _find_free_ports(ips: list[str], count: int) -> list[int]:
     """Return different ports that are free on all addresses.
 
-    The system may give a port that was closed again to the next asker.
+    The operating system may return a port again once it has been closed.
     """
     ports: list[int] = []
     while len(ports) < count:
-        port = _free_port(ips)
+        port = _find_free_port(ips)
         if port not in ports:
             ports.append(port)
     return ports
 
 
-def _free_port(ips: list[str]) -> int:
-    """Return a port that the system gives, free on all addresses."""
+def _find_free_port(ips: list[str]) -> int:
+    """Return a port that the operating system chose and that is free on all addresses."""
     while True:
         opened = []
         try:
--- a/tests/steps/backend_steps.py
+++ b/tests/steps/backend_steps.py
@@ -1,4 +1,4 @@
-"""Steps of backend servers: their faults, their run ledgers, and queues before them."""
+"""Steps of backend servers: injected faults, the runs they recorded, queues of requests."""
 
 import time
 from typing import Any
@@ -18,19 +18,19 @@
 
 
 @given('"{workspace}" keeps {count:d} requests of {tokens:d} tokens waiting at router {number:d}')
-def keep_waiting(context: Any, workspace: str, count: int, tokens: int, number: int) -> None:
+def fill_queue(context: Any, workspace: str, count: int, tokens: int, number: int) -> None:
     address = router(context, number).address
     caller = make_caller(context, workspace)
     for _ in range(count):
         start_thread(context, caller.chat, address, workspace, tokens)
     operators = router(context, number).operators_address
     wait_for(lambda: get_json(operators, "/status")["queued_requests"] > count // 2, "a queue")
-    # The rate of the queue is known once a few have left it.
+    # The router estimates the queue's rate from the first few requests that leave it.
     time.sleep(0.5)
 
 
 @given("the engine breaks the next stream after {count:d} events and loses the run")
-def break_and_lose(context: Any, count: int) -> None:
+def break_stream_and_lose_run(context: Any, count: int) -> None:
     set_faults(engine(context), {"break_after": count, "lose_runs": True})
 
 
@@ -40,17 +40,17 @@
 
 
 @given("the engine sends every event twice")
-def duplicate(context: Any) -> None:
+def duplicate_events(context: Any) -> None:
     set_faults(engine(context), {"duplicate": True})
 
 
 @given("the engine mixes an event of another request into the next stream")
-def foreign(context: Any) -> None:
+def mix_in_foreign_event(context: Any) -> None:
     set_faults(engine(context), {"foreign": True})
 
 
 @given("the engine dies before the next answer")
-def die_before(context: Any) -> None:
+def die_before_answer(context: Any) -> None:
     set_faults(engine(context), {"die_before_answer": 1})
 
 
@@ -60,55 +60,57 @@
 
 
 @given("the plain service does not start the next {count:d} calls")
-def not_started(context: Any, count: int) -> None:
+def refuse_to_start_calls(context: Any, count: int) -> None:
     set_faults(service(context), {"not_started": count})
 
 
 @given("the plain service turns the next {count:d} calls away for {wait_s:d} s")
-def turned_away(context: Any, count: int, wait_s: int) -> None:
+def refuse_calls_with_retry_after(context: Any, count: int, wait_s: int) -> None:
     set_faults(service(context), {"not_started": count, "retry_after": str(wait_s)})
 
 
 @then("it took {least_s:g} s or more")
-def check_waited(context: Any, least_s: float) -> None:
+def check_took_at_least(context: Any, least_s: float) -> None:
     assert context.result.elapsed_s >= least_s, context.result
 
 
 @given("the plain service breaks the next connection before the body")
-def break_before(context: Any) -> None:
+def break_before_body(context: Any) -> None:
     set_faults(service(context), {"break_before_body": 1})
 
 
 @given("the plain service breaks the next connection after the run")
-def break_after(context: Any) -> None:
+def break_after_run(context: Any) -> None:
     set_faults(service(context), {"break": 1})
 
 
 @given("the plain service takes {milliseconds:d} ms")
-def slow(context: Any, milliseconds: int) -> None:
+def slow_down_service(context: Any, milliseconds: int) -> None:
     set_faults(service(context), {"slow_ms": milliseconds})
 
 
 @when('"{workspace}" calls the plain service at router {number:d} with request id "{name}"')
 def call_service(context: Any, workspace: str, number: int, name: str) -> None:
-    _call(context, workspace, number, {"X-Request-Id": name})
+    _send_service_call(context, workspace, number, {"X-Request-Id": name})
 
 
 @when('"{workspace}" calls the plain service once at router {number:d} with request id "{name}"')
-def call_once(context: Any, workspace: str, number: int, name: str) -> None:
-    _call(context, workspace, number, {"X-Request-Id": name, "X-No-Repeat": "true"})
+def call_service_without_repeat(context: Any, workspace: str, number: int, name: str) -> None:
+    _send_service_call(context, workspace, number, {"X-Request-Id": name, "X-No-Repeat": "true"})
 
 
 @when(
     '"{workspace}" calls the plain service once at router {number:d}'
-    ' with {spare:d} ms to spare and request id "{name}"'
+    ' with {timeout_ms:d} ms to spare and request id "{name}"'
 )
-def call_spare(context: Any, workspace: str, number: int, spare: int, name: str) -> None:
-    headers = {"X-Request-Id": name, "X-No-Repeat": "true", "X-Timeout-Ms": str(spare)}
-    _call(context, workspace, number, headers)
+def call_service_with_timeout(
+    context: Any, workspace: str, number: int, timeout_ms: int, name: str
+) -> None:
+    headers = {"X-Request-Id": name, "X-No-Repeat": "true", "X-Timeout-Ms": str(timeout_ms)}
+    _send_service_call(context, workspace, number, headers)
 
 
-def _call(context: Any, workspace: str, number: int, headers: dict[str, str]) -> None:
+def _send_service_call(context: Any, workspace: str, number: int, headers: dict[str, str]) -> None:
     address = router(context, number).address
     path = "/services/terminal/valves/7"
     result = make_caller(context, workspace).send(address, "POST", path, b"open", headers)
@@ -157,18 +159,18 @@
 
 
 @when('"{workspace}" streams {tokens:d} tokens about "{word}" from router {number:d} with a hold')
-def stream_held(context: Any, workspace: str, tokens: int, word: str, number: int) -> None:
-    """Stream from engines that stand still half-way until a piece has reached the caller."""
+def stream_with_hold(context: Any, workspace: str, tokens: int, word: str, number: int) -> None:
+    """Stream from engines that pause half-way until the first piece has reached the caller."""
     engines = list(context.fleet.engines.values())
 
-    def go_on() -> None:
+    def resume_engines() -> None:
         for program in engines:
             set_faults(program, {})
 
     for program in engines:
         set_faults(program, {"hold_after": tokens // 2})
     caller = make_caller(context, workspace)
-    caller.on_first_piece = go_on
+    caller.on_first_piece = resume_engines
     address = router(context, number).address
     record_result(context, caller.chat(address, word, tokens, stream=True), word, tokens)
     caller.on_first_piece = None
--- a/tests/steps/entrance_steps.py
+++ b/tests/steps/entrance_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the entrance for callers, without processes."""
+"""Steps of the listener that accepts callers' connections, without processes."""
 
 import itertools
 import socket
@@ -12,52 +12,60 @@
 from myrtlehook_router.connection.passing import Accepted
 
 WAIT_S = 10.0
-"""Far more than loopback takes."""
+"""Far longer than a connection over loopback takes."""
 
 CLOCK_STEP_S = 1.0 / 1024.0
-"""What each look at the clock takes, so that the outcome is the same on any machine."""
+"""Each reading of the clock advances it by this much: the outcome is the same on any machine."""
 
 
-class TakingPasser:
-    """Takes each connection, as while neighbours have time."""
+class AcceptingPasser:
+    """Accepts every connection, as neighbours with processor time to spare do."""
 
     def __init__(self) -> None:
-        self.taken: list[Accepted] = []
+        self.accepted_connections: list[Accepted] = []
 
-    def pass_on(self, accepted: Accepted, give_back: Any) -> bool:
-        """Take a connection."""
-        self.taken.append(accepted)
+    def pass_on(self, accepted: Accepted, serve_here: Any) -> bool:
+        """Accept a connection."""
+        self.accepted_connections.append(accepted)
         return True
 
 
 @when(
     "{count:d} callers have connected before a router accepts the first one,"
-    " and neighbours take all"
+    " and neighbours accept all"
 )
 def connect_in_burst(context: Any, count: int) -> None:
     listener = eventlet.listen(("127.0.0.1", 0), backlog=BACKLOG)
     callers = [socket.create_connection(listener.getsockname()) for _ in range(count)]
-    passer = TakingPasser()
+    passer = AcceptingPasser()
     clock = itertools.count(0.0, CLOCK_STEP_S)
     paced = PacedListener(listener, lambda: next(clock))
-    entrance: Any = IngressListener(paced, passer, lambda: True, lambda: True)  # type: ignore[arg-type]
-    context.accepted_by_turn = [0]
+    ingress_listener: Any = IngressListener(paced, passer, lambda: True, lambda: True)  # type: ignore[arg-type]
+    context.accepted_at_turns = [0]
 
-    def take_turns() -> None:
-        while len(passer.taken) < count:
-            context.accepted_by_turn.append(len(passer.taken))
+    def record_turns() -> None:
+        while len(passer.accepted_connections) < count:
+            context.accepted_at_turns.append(len(passer.accepted_connections))
             eventlet.sleep(0)
-        context.accepted_by_turn.append(len(passer.taken))
+        context.accepted_at_turns.append(len(passer.accepted_connections))
 
-    accepting = eventlet.spawn(entrance.accept_forever)
+    accepting = eventlet.spawn(ingress_listener.accept_forever)
     with eventlet.Timeout(WAIT_S):
-        eventlet.spawn(take_turns).wait()
+        eventlet.spawn(record_turns).wait()
     accepting.kill()
-    for connection in [*callers, *(accepted[0] for accepted in passer.taken), listener]:
+    for connection in [
+        *callers,
+        *(accepted[0] for accepted in passer.accepted_connections),
+        listener,
+    ]:
         connection.close()
 
 
 @then("between two turns of another task at most {most:d} of them are accepted")
 def check_turns(context: Any, most: int) -> None:
-    steps = [after - before for before, after in itertools.pairwise(context.accepted_by_turn)]
-    assert max(steps) <= most, f"accepted between two turns: {steps}, at most {most} wanted"
+    accepted_counts = [
+        after - before for before, after in itertools.pairwise(context.accepted_at_turns)
+    ]
+    assert max(accepted_counts) <= most, (
+        f"accepted between two turns: {accepted_counts}, at most {most} wanted"
+    )
--- a/tests/steps/failure_steps.py
+++ b/tests/steps/failure_steps.py
@@ -1,4 +1,4 @@
-"""Steps of failures under load, and of what must hold meanwhile."""
+"""Steps of failures under load, and of the guarantees that must hold meanwhile."""
 
 import hashlib
 import json
@@ -23,7 +23,7 @@
 
 
 class Load:
-    """Callers that ask again and again until they are told to stop."""
+    """Callers that each send one request after another until they are stopped."""
 
     def __init__(self, context: Any) -> None:
         self.context = context
@@ -43,34 +43,34 @@
                 self.stopped.wait(0.1)
 
 
-def load_of(context: Any) -> Load:
+def get_load(context: Any) -> Load:
     if not hasattr(context, "load") or context.load.stopped.is_set():
         context.load = Load(context)
         context.add_cleanup(context.load.stopped.set)
-        context.loaded = set()
+        context.loaded_workspaces = set()
     return context.load
 
 
 @given('"{workspace}" keeps {callers:d} callers at every router')
-def load_every(context: Any, workspace: str, callers: int) -> None:
+def load_every_router(context: Any, workspace: str, callers: int) -> None:
     numbers = list(range(1, len(context.fleet.routers) + 1))
-    load_of(context).add(workspace, callers, numbers)
-    context.loaded.add(workspace)
+    get_load(context).add(workspace, callers, numbers)
+    context.loaded_workspaces.add(workspace)
 
 
 @given('"{workspace}" keeps {callers:d} callers at routers {first:d} and {second:d}')
-def load_two(context: Any, workspace: str, callers: int, first: int, second: int) -> None:
-    load_of(context).add(workspace, callers, [first, second])
-    context.loaded.add(workspace)
+def load_two_routers(context: Any, workspace: str, callers: int, first: int, second: int) -> None:
+    get_load(context).add(workspace, callers, [first, second])
+    context.loaded_workspaces.add(workspace)
 
 
 @given('"{workspace}" keeps {callers:d} callers at router {number:d}')
-def load_one(context: Any, workspace: str, callers: int, number: int) -> None:
-    load_of(context).add(workspace, callers, [number])
-    context.loaded.add(workspace)
+def load_one_router(context: Any, workspace: str, callers: int, number: int) -> None:
+    get_load(context).add(workspace, callers, [number])
+    context.loaded_workspaces.add(workspace)
 
 
-def _read_service(context: Any) -> tuple[float, dict[str, float], list[float]]:
+def _read_served_tokens(context: Any) -> tuple[float, dict[str, float], list[float]]:
     served: dict[str, float] = {}
     busy = []
     for program in context.fleet.engines.values():
@@ -82,15 +82,15 @@
 
 
 @when("{seconds:d} seconds of service are measured")
-def measure(context: Any, seconds: int) -> None:
-    # The start of the load is no part of what is measured.
+def measure_service(context: Any, seconds: int) -> None:
+    # The ramp-up of the load is left out of the measurement.
     time.sleep(1.5)
-    start_s, before, busy_before = _read_service(context)
+    start_s, before, busy_before = _read_served_tokens(context)
     gaps = []
     while time.monotonic() - start_s < seconds:
         time.sleep(0.2)
-        _, served, busy = _read_service(context)
-        shares = {name: context.fleet.workspaces[name].share for name in context.loaded}
+        _, served, busy = _read_served_tokens(context)
+        shares = {name: context.fleet.workspaces[name].share for name in context.loaded_workspaces}
         received = [
             (served.get(name, 0) - before.get(name, 0)) / share for name, share in shares.items()
         ]
@@ -98,14 +98,16 @@
     elapsed_s = time.monotonic() - start_s
     context.gap = max(gaps)
     context.busy = [
-        (now - then_s) / (SLOTS * elapsed_s) for now, then_s in zip(busy, busy_before, strict=True)
+        (now - before_s) / (SLOTS * elapsed_s)
+        for now, before_s in zip(busy, busy_before, strict=True)
     ]
 
 
 @then("the gap between workspaces is within its formula")
 def check_gap(context: Any) -> None:
     capacity = len(context.fleet.engines) * SLOTS * TOKENS_PER_S
-    # A few requests started unseen, and the service of one refresh interval.
+    # A few requests may start before other routers learn of them; added to these is what the
+    # engines serve within one refresh interval.
     bound = 4 * TOKENS + capacity * REFRESH_S
     print(f"gap {context.gap:.0f} tokens a share, bound {bound:.0f}")
     assert context.gap <= bound, (context.gap, bound)
@@ -117,7 +119,7 @@
 
 
 @when("the fleet is cut into halves for {seconds:d} seconds")
-def cut_halves(context: Any, seconds: int) -> None:
+def cut_into_halves(context: Any, seconds: int) -> None:
     names = list(context.fleet.routers)
     half = len(names) // 2
     context.fleet.cut([names[:half], names[half:]])
@@ -126,12 +128,12 @@
 
 
 @when("every router sees every other again")
-def see_again(context: Any) -> None:
+def wait_until_connected(context: Any) -> None:
     context.fleet.wait_until_ready()
 
 
 @when("{seconds:d} seconds pass in service")
-def pass_time(context: Any, seconds: int) -> None:
+def keep_serving(context: Any, seconds: int) -> None:
     time.sleep(seconds)
 
 
@@ -148,9 +150,9 @@
     owner = next(s["owner"] for s in status["servers"] if s["backend_server"] == "engine-1")
     names = sorted(context.fleet.routers)
     ledgers = rank_routers(f"ledger/{workspace}/{MODEL_POOL}", names, len(names))
-    # Router 1 holds the callers, so it must be another; two routers die in any case.
-    doomed = [name for name in (owner, *ledgers) if name != "vm-1"][:2]
-    for name in dict.fromkeys(doomed):
+    # Router 1 serves the callers, so it is spared; the next ledger in line is killed instead.
+    victims = [name for name in (owner, *ledgers) if name != "vm-1"][:2]
+    for name in dict.fromkeys(victims):
         context.fleet.kill(context.fleet.routers[name])
 
 
@@ -170,7 +172,7 @@
 
 
 @given("{count:d} calls not to be repeated are on their way at router {number:d}")
-def calls_on_their_way(context: Any, count: int, number: int) -> None:
+def start_unrepeatable_calls(context: Any, count: int, number: int) -> None:
     program = next(iter(context.fleet.services.values()))
     set_faults(program, {"slow_ms": 500})
     context.calls = {}
@@ -187,13 +189,13 @@
         start_thread(context, call, f"valve-{index}")
     operators = router(context, number).operators_address
 
-    def some_done_some_running() -> bool:
+    def some_ended_and_some_run() -> bool:
         running = get_json(operators, "/status")["running_requests"]
         return bool(context.calls) and running >= SLOTS
 
-    # Without a call that has ended before the freeze, its proof would be empty: one
-    # that is answered during the freeze may rightly end as unknown.
-    wait_for(some_done_some_running, "calls to have ended and others to run", 20)
+    # A call that is answered during the freeze may rightly end with an unknown outcome, so at
+    # least one must end before it: else no completed call would be left to check.
+    wait_for(some_ended_and_some_run, "calls to have ended and others to run", 20)
 
 
 @when("router {number:d} is frozen for {seconds:d} seconds")
@@ -204,7 +206,7 @@
     process.send_signal(signal.SIGCONT)
 
 
-def _ended_calls(context: Any) -> dict[str, tuple[Result, int]]:
+def _collect_calls(context: Any) -> dict[str, tuple[Result, int]]:
     for thread in context.threads:
         thread.join(60)
     program = next(iter(context.fleet.services.values()))
@@ -215,32 +217,32 @@
 
 
 @then("no call ran more than once")
-def check_no_double(context: Any) -> None:
-    ended = _ended_calls(context)
+def check_none_repeated(context: Any) -> None:
+    ended = _collect_calls(context)
     assert ended and all(count <= 1 for _, count in ended.values()), ended
 
 
-@then("every call that was not run did not run")
+@then("every call reported as not run did not run")
 def check_not_run(context: Any) -> None:
-    ended = _ended_calls(context)
+    ended = _collect_calls(context)
     assert all(count == 0 for result, count in ended.values() if result.outcome == "not-run"), ended
 
 
 @then("every call that completed ran once")
-def check_completed(context: Any) -> None:
-    ended = _ended_calls(context)
+def check_completed_ran_once(context: Any) -> None:
+    ended = _collect_calls(context)
     completed = [count for result, count in ended.values() if result.outcome == "completed"]
     assert completed and all(count == 1 for count in completed), ended
 
 
-@given("{count:d} requests with {spare:d} ms to spare wait at router {number:d}")
-def short_requests(context: Any, count: int, spare: int, number: int) -> None:
+@given("{count:d} requests with {timeout_ms:d} ms to spare wait at router {number:d}")
+def send_short_requests(context: Any, count: int, timeout_ms: int, number: int) -> None:
     address = router(context, number).address
     caller = make_caller(context, "planners")
     context.calls = {}
 
     def ask(name: str) -> None:
-        headers = {"X-Request-Id": name, "X-Timeout-Ms": str(spare)}
+        headers = {"X-Request-Id": name, "X-Timeout-Ms": str(timeout_ms)}
         context.calls[name] = record_result(
             context, caller.chat(address, "short", 4, headers=headers)
         )
@@ -251,7 +253,7 @@
 
 
 @then("those requests are refused as not run and none of them started")
-def check_short(context: Any) -> None:
+def check_short_refused(context: Any) -> None:
     for thread in context.threads:
         thread.join(60)
     started = get_json(next(iter(context.fleet.engines.values())).address, "/test/ledger")[
@@ -268,13 +270,13 @@
 
 
 @when("engine 1 says that it is leaving, and the configuration never does")
-def engine_leaves(context: Any) -> None:
-    # Only its load report says so: it would still take a run if it were sent one.
+def report_leaving(context: Any) -> None:
+    # Only its load report says that it is leaving: it would still accept a run.
     set_faults(context.fleet.engines["engine-1"], {"leaving_report": True})
 
 
 @when("engine 1 refuses runs because it leaves, and its load report never says so")
-def engine_refuses(context: Any) -> None:
+def refuse_as_leaving(context: Any) -> None:
     set_faults(context.fleet.engines["engine-1"], {"refuses_leaving": True})
 
 
@@ -289,7 +291,7 @@
 
 
 @then("engine 1 starts nothing new after {seconds:d} seconds")
-def check_nothing_new(context: Any, seconds: int) -> None:
+def check_nothing_started(context: Any, seconds: int) -> None:
     time.sleep(seconds)
     address = context.fleet.engines["engine-1"].address
     before = len(get_json(address, "/test/ledger")["started"])
@@ -297,7 +299,7 @@
     assert len(get_json(address, "/test/ledger")["started"]) == before
 
 
-def _push(context: Any, number: int, contents: list[bytes]) -> None:
+def _send_to_peer_port(context: Any, number: int, contents: list[bytes]) -> None:
     port = router(context, number).settings["peers"]["port"]
     with pynng.Push0(dial=f"tcp://127.0.0.1:{port}", send_timeout=5000) as push:
         for content in contents:
@@ -307,7 +309,7 @@
 
 @when("bytes without the fleet's key are sent to the peers' port of router {number:d}")
 def send_untagged(context: Any, number: int) -> None:
-    _push(context, number, [b"", b"x" * 10, b"\x00" * 100, b"\xff" * 100_000])
+    _send_to_peer_port(context, number, [b"", b"x" * 10, b"\x00" * 100, b"\xff" * 100_000])
 
 
 @when("nonsense with the fleet's key is sent to the peers' port of router {number:d}")
@@ -315,7 +317,7 @@
     contents = [b"nonsense", b"\x93\xa1a\x01\x91\x92\x63\x00", b"\x91" * 5000]
     key = context.fleet.fleet_key.encode()
     tagged = [hashlib.blake2b(c, key=key, digest_size=16).digest() + c for c in contents]
-    _push(context, number, tagged)
+    _send_to_peer_port(context, number, tagged)
 
 
 @given("the configuration orders engine 1 to serve version {version}")
@@ -328,7 +330,7 @@
 
 @given("engine 1 reports version {version} with the fence of the configuration")
 @then("engine 1 reports version {version} with the fence of the configuration")
-def check_order(context: Any, version: str) -> None:
+def check_order_applied(context: Any, version: str) -> None:
     wanted = version.strip('"')
     fence = context.fleet.version
     address = context.fleet.engines["engine-1"].address
@@ -341,7 +343,7 @@
 
 
 @given("router {number:d} is cut off from the platform for good")
-def cut_for_good(context: Any, number: int) -> None:
+def cut_off_for_good(context: Any, number: int) -> None:
     others = [name for name in context.fleet.routers if name != f"vm-{number}"]
     body = json.dumps({"peers": others, "platform": True}).encode()
     http("POST", router(context, number).operators_address, "/test/cut", body)
--- a/tests/steps/passing_steps.py
+++ b/tests/steps/passing_steps.py
@@ -34,10 +34,10 @@
 from standins.network import wait_for
 from standins.nodes import Node, fetch
 
-COPY_S = 20.0
+SPLICE_TIMEOUT_S = 20.0
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
-BREAK_S = 20.0
-"""Far more than a neighbour that is gone takes to be known, and less than a caller waits."""
+MAX_BREAK_S = 20.0
+"""Far longer than it takes to detect that a neighbour is gone; less than a caller's timeout."""
 
 
 @given("router {number:d} knows its neighbours")
@@ -52,73 +52,76 @@
     wait_for(knows, f"router {number} to know its neighbours")
 
 
-def enders(context: Any) -> list[Node]:
-    """Return the routers that have told how the attempt ended."""
+def find_ending_routers(context: Any) -> list[Node]:
+    """Return the routers that have logged the end of the attempt."""
     wanted = context.attempt.attempt_id
 
-    def told(found: Node) -> bool:
+    def has_logged_end(found: Node) -> bool:
         lines = found.log_path.read_text().splitlines()
         return any("request ended" in line and wanted in line for line in lines)
 
-    wait_for(lambda: any(told(found) for found in context.nodes.nodes), "an end in a log")
-    return [found for found in context.nodes.nodes if told(found)]
+    wait_for(lambda: any(has_logged_end(found) for found in context.nodes.nodes), "an end in a log")
+    return [found for found in context.nodes.nodes if has_logged_end(found)]
 
 
-@then("exactly 1 router has told of the attempt's end, and not router {router:d}")
+@then("exactly 1 router has logged the attempt's end, and not router {router:d}")
 def check_neighbour_served(context: Any, router: int) -> None:
-    found = enders(context)
+    found = find_ending_routers(context)
     assert len(found) == 1, found
     assert found[0] is not node(context, router), found
 
 
-@then("router {router:d} alone has told of the attempt's end")
+@then("router {router:d} alone has logged the attempt's end")
 def check_served_itself(context: Any, router: int) -> None:
-    found = enders(context)
+    found = find_ending_routers(context)
     assert [other.name for other in found] == [node(context, router).name], found
 
 
-def helping_node(context: Any) -> Node:
+def find_helping_node(context: Any) -> Node:
     """Return the router that runs the open stream."""
 
-    def runs(found: Node) -> bool:
+    def has_accepted_connection(found: Node) -> bool:
         lines = found.log_path.read_text().splitlines()
         return any('"connection taken"' in line for line in lines)
 
-    wait_for(lambda: any(runs(found) for found in context.nodes.nodes), "a helping router")
-    return next(found for found in context.nodes.nodes if runs(found))
+    wait_for(
+        lambda: any(has_accepted_connection(found) for found in context.nodes.nodes),
+        "a helping router",
+    )
+    return next(found for found in context.nodes.nodes if has_accepted_connection(found))
 
 
 @when("the {which} router of that stream is told to stop")
-def stop_one(context: Any, which: str) -> None:
-    found = node(context, 1) if which == "busy" else helping_node(context)
+def stop_router_of_stream(context: Any, which: str) -> None:
+    found = node(context, 1) if which == "busy" else find_helping_node(context)
     found.process.send_signal(signal.SIGTERM)
-    wait_for(lambda: context.nodes.readiness(found) != 200, "the router to stop")
+    wait_for(lambda: context.nodes.fetch_readiness(found) != 200, "the router to stop")
     context.stopped = found
 
 
 @when("the engines go on")
-def release_engines(context: Any) -> None:
+def resume_engines(context: Any) -> None:
     context.nodes.order(heal=True)
 
 
 @then("the rest of the stream arrives whole")
 def check_rest(context: Any) -> None:
-    body = context.first + context.response.read()
+    body = context.first_bytes + context.response.read()
     seen = [int(number) for number in EVENT_ID.findall(body)]
     assert seen == list(range(1, len(seen) + 1)) and len(seen) > 2, seen
     assert context.stopped.process.wait(timeout=20) == 0
 
 
 @when("the helping router of that stream is {gone}")
-def lose_helper(context: Any, gone: str) -> None:
-    found = helping_node(context)
+def kill_or_freeze_helper(context: Any, gone: str) -> None:
+    found = find_helping_node(context)
     found.process.send_signal(signal.SIGKILL if gone == "killed" else signal.SIGSTOP)
 
 
 @then("the stream breaks off within a few seconds")
-def check_breaks(context: Any) -> None:
+def check_stream_breaks(context: Any) -> None:
     broken = False
-    begun_s = time.monotonic()
+    started_s = time.monotonic()
     try:
         context.response.read()
     except TimeoutError as error:
@@ -126,7 +129,7 @@
     except Exception:
         broken = True
     assert broken, "the stream looked complete"
-    assert time.monotonic() - begun_s < BREAK_S, time.monotonic() - begun_s
+    assert time.monotonic() - started_s < MAX_BREAK_S, time.monotonic() - started_s
 
 
 @when("a stranger introduces itself to router {router:d} with {introduction}")
@@ -158,11 +161,14 @@
 
 
 _raw = patcher.original("socket")
-"""The joined ends are the operating system's own; the outer ones wait in tasks."""
+"""Unpatched: a splice works in loop callbacks; only the outer ends wait in tasks."""
 
 
 def join_pairs() -> tuple[Any, Any, list[bool]]:
-    """Return the outer ends of two pairs of connections whose inner ends are joined."""
+    """Return the outer ends of two connections whose inner ends are spliced, and a list.
+
+    The list gets an entry once the splice has ended.
+    """
     near_outer, near_inner = _connected_pair()
     far_outer, far_inner = _connected_pair()
     ended: list[bool] = []
@@ -171,7 +177,7 @@
 
 
 def _connected_pair() -> tuple[Any, Any]:
-    """Return a connection's two ends: one of eventlet's, one of the operating system's."""
+    """Return a connection's two ends: a green socket of eventlet, and an unpatched one."""
     with _raw.socket() as listener:
         listener.bind(("127.0.0.1", 0))
         listener.listen()
@@ -182,7 +188,7 @@
 
 
 @when("a {slow} takes {kilobytes:d} KB through two connections that are joined")
-def copy_bytes(context: Any, slow: str, kilobytes: int) -> None:
+def send_through_splice(context: Any, slow: str, kilobytes: int) -> None:
     content = random.Random(1).randbytes(kilobytes * 1024)
     near, far, ended = join_pairs()
     received: list[bytes] = []
@@ -192,7 +198,7 @@
         far.close()
 
     writer = eventlet.spawn(write)
-    with eventlet.Timeout(COPY_S):
+    with eventlet.Timeout(SPLICE_TIMEOUT_S):
         while piece := near.recv(4096):
             received.append(piece)
             if slow == "slow reader" and len(received) % 100 == 0:
@@ -202,19 +208,19 @@
 
 
 @then("all of it arrives in order, and the end as well")
-def check_copied(context: Any) -> None:
+def check_received(context: Any) -> None:
     assert context.received == context.content, len(context.received)
     assert context.ended == [True]
 
 
 @when("one of two joined connections is reset")
-def reset_one_side(context: Any) -> None:
+def reset_one_connection(context: Any) -> None:
     near, far, _ = join_pairs()
     far.setsockopt(_raw.SOL_SOCKET, _raw.SO_LINGER, RESET_ON_CLOSE)
     far.close()
-    with eventlet.Timeout(COPY_S):
+    with eventlet.Timeout(SPLICE_TIMEOUT_S):
         hubs.trampoline(near.fileno(), read=True)
-    # eventlet's own reading takes a reset for an end.
+    # eventlet's recv reports a reset as the end of the stream.
     context.error = near.getsockopt(_raw.SOL_SOCKET, _raw.SO_ERROR)
 
 
@@ -247,8 +253,8 @@
     assert max(counts.values()) <= factor * len(context.chosen) / context.near, counts
 
 
-@then("a neighbour that is short is left alone for a second")
-def check_left_alone(context: Any) -> None:
+@then("a neighbour that is short of processor time is not asked for a second")
+def check_short_not_asked(context: Any) -> None:
     record_short(context.neighbours, "r0:1", 0.0)
     for now_s, wanted in ((0.5, False), (1.1, True)):
         drawn = (
@@ -260,8 +266,8 @@
         assert ("r0:1" in names) is wanted, (now_s, names)
 
 
-@when("all near neighbours are short")
-def note_near_short(context: Any) -> None:
+@when("all near neighbours are short of processor time")
+def mark_near_short(context: Any) -> None:
     for number in range(context.near):
         record_short(context.neighbours, f"r{number}:1", 0.0)
 
@@ -270,13 +276,13 @@
     "the next {count:d} connections go to far neighbours, none of which has over {factor:g} times"
     " the mean"
 )
-def check_far(context: Any, count: int, factor: float) -> None:
+def check_far_chosen(context: Any, count: int, factor: float) -> None:
     chosen: Counter[str] = Counter()
     for _ in range(count):
         member = choose_neighbour(
             context.neighbours, context.members, 0.5, context.draw, frozenset()
         )
-        assert member is not None, "no neighbour was asked, though those far are idle"
+        assert member is not None, "no neighbour was chosen, though the far ones are idle"
         record_opened(context.neighbours, member.router_id)
         chosen[member.router_id] += 1
     near = {f"r{number}:1" for number in range(context.near)}
@@ -286,14 +292,14 @@
 
 
 @then("a second later near neighbours are asked first again")
-def check_near_again(context: Any) -> None:
+def check_near_asked_again(context: Any) -> None:
     member = choose_neighbour(context.neighbours, context.members, 1.1, context.draw, frozenset())
     assert member is not None
     assert member.availability_zone == context.members.identity.availability_zone, member
 
 
 @then("with a busy part of {part:g} it passes on {count:d} of 100 connections")
-def check_part(context: Any, part: float, count: int) -> None:
+def check_passed_fraction(context: Any, part: float, count: int) -> None:
     neighbours = Neighbours()
     passed = sum(should_pass_on(neighbours, CoreOptions(), part, False) for _ in range(100))
     assert passed == count, passed
@@ -303,7 +309,9 @@
     "with both thresholds at {limit:g} a router passes on none of {count:d} connections"
     " at {below:g} and all at {above:g}"
 )
-def check_step(context: Any, limit: float, count: int, below: float, above: float) -> None:
+def check_threshold_step(
+    context: Any, limit: float, count: int, below: float, above: float
+) -> None:
     options = CoreOptions(passing_starts_part=limit, passing_all_part=limit)
     for part, wanted in ((below, 0), (above, count)):
         neighbours = Neighbours()
--- a/tests/steps/platform_fault_steps.py
+++ b/tests/steps/platform_fault_steps.py
@@ -1,4 +1,4 @@
-"""Steps of what fails on the emulated platform: servers, streams, callers, routers."""
+"""Steps of failures on the emulated platform: of servers, streams, callers and routers."""
 
 import http.client
 import signal
@@ -13,21 +13,21 @@
 
 
 @given('server "{name}" refuses 1 request')
-def refuse_one(context: Any, name: str) -> None:
+def refuse_one_request(context: Any, name: str) -> None:
     context.nodes.order(faults={name: {"refusals": 1}})
 
 
 @given('server "{name}" loses 1 answer')
-def lose_one(context: Any, name: str) -> None:
+def lose_one_answer(context: Any, name: str) -> None:
     context.nodes.order(faults={name: {"reset_answers": 1}})
 
 
 @given('server "{name}" resets 1 answer half-way that has no length')
-def reset_one(context: Any, name: str) -> None:
+def reset_one_answer(context: Any, name: str) -> None:
     context.nodes.order(faults={name: {"unframed_resets": 1}})
 
 
-def fault_engines(context: Any, **faults: int) -> None:
+def inject_engine_faults(context: Any, **faults: int) -> None:
     names = [name for name in context.nodes.addresses if name.startswith("i-engine")]
     context.nodes.order(faults={name: faults for name in names})
 
@@ -38,22 +38,22 @@
 
 
 @given("every engine answers 1 request under a wrong id")
-def spoil_ids(context: Any) -> None:
-    fault_engines(context, wrong_ids=1)
+def answer_under_wrong_ids(context: Any) -> None:
+    inject_engine_faults(context, wrong_ids=1)
 
 
 @given("every engine holds its streams after {count:d} events")
 def hold_streams(context: Any, count: int) -> None:
-    fault_engines(context, hold_after_events=count)
+    inject_engine_faults(context, hold_after_events=count)
 
 
 @given('server "{name}" loses {count:d} answers')
-def lose_many(context: Any, name: str, count: int) -> None:
+def lose_answers(context: Any, name: str, count: int) -> None:
     context.nodes.order(faults={name: {"reset_answers": count}})
 
 
 @given('server "{name}" answers {count:d} requests with a failure of its own')
-def fail_many(context: Any, name: str, count: int) -> None:
+def answer_with_errors(context: Any, name: str, count: int) -> None:
     context.nodes.order(faults={name: {"errors": count}})
     context.log_sizes = {found.name: found.log_path.stat().st_size for found in context.nodes.nodes}
 
@@ -64,7 +64,7 @@
     assert seen == list(range(1, last + 1)), seen
 
 
-@then("the answer ended without its proper end")
+@then("the answer broke off before its end")
 def check_broken(context: Any) -> None:
     assert context.attempt.broken, context.attempt
 
@@ -77,8 +77,8 @@
     context.connection = http.client.HTTPConnection(found.ip, found.front_port, timeout=30)
     context.connection.request("POST", "/diagnosis/a", body=b"body", headers=headers)
     context.response = context.connection.getresponse()
-    context.first = context.response.read1(65536)
-    assert EVENT_ID.search(context.first), context.first
+    context.first_bytes = context.response.read1(65536)
+    assert EVENT_ID.search(context.first_bytes), context.first_bytes
 
 
 @when('"{workspace}" opens a stream at router {router:d} and leaves after the first event')
@@ -90,11 +90,11 @@
 
 @given("every engine is silent")
 def silence_engines(context: Any) -> None:
-    fault_engines(context, silent=True)
+    inject_engine_faults(context, silent=True)
 
 
 @when('"{workspace}" leaves {count:d} requests at router {router:d} once an engine runs them')
-def leave_many(context: Any, workspace: str, count: int, router: int) -> None:
+def abandon_requests(context: Any, workspace: str, count: int, router: int) -> None:
     found = node(context, router)
     for _ in range(count):
         headers = make_headers(new_id(), workspace, "300,60", f"{new_id()}:300")
@@ -116,12 +116,12 @@
 
 @then("the engines cancel that run")
 def check_cancelled(context: Any) -> None:
-    def cancelled() -> bool:
+    def is_cancelled() -> bool:
         servers = context.nodes.describe()["servers"].values()
         return any(context.attempt.attempt_id in server["cancelled"] for server in servers)
 
-    wait_for(cancelled, "the run is cancelled")
-    fault_engines(context, hold_after_events=0, silent=False)
+    wait_for(is_cancelled, "the run is cancelled")
+    inject_engine_faults(context, hold_after_events=0, silent=False)
 
 
 @when("the platform stops router {router:d}")
@@ -132,13 +132,13 @@
 @then("router {router:d} is not ready")
 def check_not_ready(context: Any, router: int) -> None:
     found = node(context, router)
-    wait_for(lambda: context.nodes.readiness(found) == 503, "readiness 503")
+    wait_for(lambda: context.nodes.fetch_readiness(found) == 503, "readiness 503")
 
 
 @then("the stream goes on to its whole end once the engines go on")
 def check_stream_ends(context: Any) -> None:
-    fault_engines(context, hold_after_events=0, silent=False)
-    body = context.first + context.response.read()
+    inject_engine_faults(context, hold_after_events=0, silent=False)
+    body = context.first_bytes + context.response.read()
     seen = [int(number) for number in EVENT_ID.findall(body)]
     assert seen == list(range(1, 21)), seen
     context.connection.close()
@@ -156,45 +156,45 @@
 
 
 @then('"{workspace}" is served at "{path}" by router {router:d} at once')
-def check_served(context: Any, workspace: str, path: str, router: int) -> None:
+def check_served_at_once(context: Any, workspace: str, path: str, router: int) -> None:
     send_attempt(context, router, workspace, "POST", path, "", b"body")
     check_sealed(context, 200)
     for found in context.nodes.nodes:
-        assert not _ejections_since(context, found), found.log_path.read_text()[-2000:]
+        assert not _find_ejections(context, found), found.log_path.read_text()[-2000:]
 
 
-def _ejections_since(context: Any, found: Node) -> list[str]:
-    """Return the ejections that a router logged since the scenario's servers turned bad."""
+def _find_ejections(context: Any, found: Node) -> list[str]:
+    """Return the ejections that a router logged since the scenario injected its fault."""
     text = found.log_path.read_bytes()[context.log_sizes[found.name] :].decode()
     return [line for line in text.splitlines() if '"ejected"' in line]
 
 
-@then('the log of router 1 or 2 tells "{text}"')
+@then('the log of router 1 or 2 has "{text}"')
 def check_logs(context: Any, text: str) -> None:
-    def told() -> bool:
+    def is_logged() -> bool:
         return any(text in found.log_path.read_text() for found in context.nodes.nodes)
 
-    wait_for(told, f"{text!r} in a log")
+    wait_for(is_logged, f"{text!r} in a log")
 
 
 @when('{count:d} callers ask for "{path}" at router 1 and keep their connections open')
-def crowd(context: Any, count: int, path: str) -> None:
+def open_idle_connections(context: Any, count: int, path: str) -> None:
     found = node(context, 1)
-    context.closing = []
+    context.idle_connections = []
     for _ in range(count):
         connection = http.client.HTTPConnection(found.ip, found.front_port, timeout=30)
         connection.request("GET", path, headers=make_headers(new_id(), "planners"))
         response = connection.getresponse()
         response.read()
-        context.closing.append((connection, response.will_close))
+        context.idle_connections.append((connection, response.will_close))
 
 
 @then("some of their connections were ended after the answer")
-def check_crowd(context: Any) -> None:
-    ended = [will_close for _, will_close in context.closing]
+def check_some_closed(context: Any) -> None:
+    ended = [will_close for _, will_close in context.idle_connections]
     assert any(ended) and not all(ended), ended
 
 
 @given("nothing is wrong")
-def leave_alone(context: Any) -> None:
-    """Change nothing; for outlines whose other rows bring trouble."""
+def inject_no_fault(context: Any) -> None:
+    """Inject no fault; for outlines whose other rows inject one."""
--- a/tests/steps/platform_operator_steps.py
+++ b/tests/steps/platform_operator_steps.py
@@ -19,22 +19,22 @@
 from standins.nodes import Node, fetch
 
 
-def _rewrite_settings(found: Node, text: str) -> None:
+def _rewrite_and_reload_settings(found: Node, text: str) -> None:
     found.settings_path.write_text(text)
     found.process.send_signal(signal.SIGHUP)
 
 
-@when("the settings of router {router:d} turn bad and it is told so")
-def spoil_settings(context: Any, router: int) -> None:
+@when("the settings of router {router:d} become invalid and it is signalled to reload them")
+def break_settings(context: Any, router: int) -> None:
     found = node(context, router)
     context.good_settings = found.settings_path.read_text()
-    _rewrite_settings(found, "NodeName")
+    _rewrite_and_reload_settings(found, "NodeName")
 
 
-@when('the settings of router {router:d} name the seed "{seed}" and it is told so')
+@when('the settings of router {router:d} name the seed "{seed}" and it is signalled to reload them')
 def change_seeds(context: Any, router: int, seed: str) -> None:
     text = re.sub(r"SeedNodes=.*", f"SeedNodes={seed}", context.good_settings)
-    _rewrite_settings(node(context, router), text)
+    _rewrite_and_reload_settings(node(context, router), text)
 
 
 @when('the operator publishes "{text}"')
@@ -65,7 +65,7 @@
 
 
 @given("the store answers nonsense")
-def spoil_store(context: Any) -> None:
+def break_store(context: Any) -> None:
     context.nodes.order(faults={"store": {"nonsense": True}})
 
 
@@ -84,8 +84,8 @@
         wait_for(answers, f"router {number} answers {status}")
 
 
-@when('the log of router {router:d} tells "{text}"')
-@then('the log of router {router:d} tells "{text}"')
+@when('the log of router {router:d} has "{text}"')
+@then('the log of router {router:d} has "{text}"')
 def check_log(context: Any, router: int, text: str) -> None:
     path = node(context, router).log_path
     wait_for(lambda: text in path.read_text(), f"{text!r} in the log")
@@ -96,12 +96,12 @@
     context.nodes.order(servers={name: "draining"})
 
     def known() -> bool:
-        return all("i-engine-1" in _leaving(found) for found in context.nodes.nodes)
+        return all("i-engine-1" in _find_last_leaving_line(found) for found in context.nodes.nodes)
 
     wait_for(known, "every router knows that the server is leaving")
 
 
-def _leaving(found: Node) -> str:
+def _find_last_leaving_line(found: Node) -> str:
     lines = [line for line in found.log_path.read_text().splitlines() if '"leaving": ["' in line]
     return lines[-1] if lines else ""
 
@@ -116,19 +116,19 @@
 
 
 @then('the tool explains the attempt with "{first}" before "{second}"')
-def check_story(context: Any, first: str, second: str) -> None:
+def check_explanation(context: Any, first: str, second: str) -> None:
     logs = [str(found.log_path) for found in context.nodes.nodes]
     command = [sys.executable, "-m", "myrtlehook_operator", "explain", context.attempt.attempt_id]
 
-    def told() -> bool:
+    def is_reported() -> bool:
         context.command = subprocess.run(
             [*command, *logs], capture_output=True, text=True, timeout=60, check=False
         )
         return second in context.command.stdout
 
-    wait_for(told, f"the story tells {second!r}")
-    story = context.command.stdout
-    assert -1 < story.find(first) < story.find(second), story
+    wait_for(is_reported, f"the explanation to contain {second!r}")
+    explanation = context.command.stdout
+    assert -1 < explanation.find(first) < explanation.find(second), explanation
 
 
 def run_losses(context: Any, *options: str) -> dict[str, Any]:
@@ -139,9 +139,9 @@
     return report
 
 
-@then('the tool\'s losses tell of "{route}" and "{workspace}" the reason "{reason}"')
+@then('the tool\'s losses list "{route}" and "{workspace}" with the reason "{reason}"')
 def check_losses(context: Any, route: str, workspace: str, reason: str) -> None:
-    def told() -> bool:
+    def is_reported() -> bool:
         context.losses = run_losses(context)["tables"]
         reasons = {
             dimension: {row["place"] for row in rows if row["reason"] == reason}
@@ -149,13 +149,13 @@
         }
         return route in reasons["route"] and workspace in reasons["workspace"]
 
-    wait_for(told, f"the losses tell {reason!r}")
+    wait_for(is_reported, f"the losses to list {reason!r}")
 
 
 @then("the tool's losses name the attempts to explain")
 def check_examples(context: Any) -> None:
     rows = context.losses["reason"]
-    # A request without an id of its own has none to be explained by.
+    # A malformed request may carry no id by which the tool could explain it.
     named = [row for row in rows if row["reason"] != "malformed_body"]
     assert named and all(row["example"] and row["requests"] for row in named), rows
     assert {row["kind"] for row in rows} >= {"broken off", "refused"}, rows
@@ -179,7 +179,7 @@
 
 
 @when('a router starts with the settings "{settings}"')
-def start_badly(context: Any, settings: str) -> None:
+def start_with_invalid_settings(context: Any, settings: str) -> None:
     path = context.nodes.folder / "bad.conf"
     path.write_text(settings.replace(";", "\n"))
     context.command = subprocess.run(
@@ -199,7 +199,7 @@
 
 
 @when('the configuration gives "{workspace}" the priority {priority:d}')
-def give_priority(context: Any, workspace: str, priority: int) -> None:
+def set_priority(context: Any, workspace: str, priority: int) -> None:
     content = make_configuration(1)
     for tenant in content["Tenants"]:
         if tenant["Name"] == workspace:
@@ -245,26 +245,26 @@
 
 @then('the metrics of some router give "{engine}" a rate, a delay and a window')
 def check_engine_metrics(context: Any, engine: str) -> None:
-    # A server's name tells its start beside its id.
+    # A server's name may have its start time after its id.
     label = rf'\{{backend_server="{engine}(@[0-9]+)?"\}}'
     wanted = [
         re.compile(f"myrtlehook_engine_{name}{label}")
         for name in ("rate_tokens_per_s", "delay_s", "window_tokens", "samples")
     ]
 
-    def told() -> bool:
+    def is_reported() -> bool:
         bodies = [fetch(found.ip, METRICS_PORT, "/metrics")[1] for found in context.nodes.nodes]
         return any(all(name.search(body.decode()) for name in wanted) for body in bodies)
 
-    wait_for(told, f"the metrics tell of {engine}")
+    wait_for(is_reported, f"the metrics to describe {engine}")
 
 
-@then('the log of some router tells what "{event}" rested on')
+@then('the log of some router has the estimates behind "{event}"')
 def check_decision_log(context: Any, event: str) -> None:
     wanted = {"unread_tokens", "backlog_tokens", "window_tokens", "rate_tokens_per_s"}
     wanted |= {"delay_ms", "samples", "estimate_age_ms", "waiting", "request_id"}
 
-    def told() -> bool:
+    def is_reported() -> bool:
         lines = [
             json.loads(line)
             for found in context.nodes.nodes
@@ -273,14 +273,14 @@
         ]
         return bool(lines) and all(wanted <= line.keys() for line in lines)
 
-    wait_for(told, f"the logs tell {event!r}")
+    wait_for(is_reported, f"the logs to have the estimates behind {event!r}")
 
 
-@then('the log of router {router:d} tells "{event}" with "{name}" {value:d}')
+@then('the log of router {router:d} has "{event}" with "{name}" {value:d}')
 def check_log_field(context: Any, router: int, event: str, name: str, value: int) -> None:
-    def told() -> bool:
+    def is_reported() -> bool:
         lines = node(context, router).log_path.read_text().splitlines()
         found = [json.loads(line) for line in lines if f'"event": "{event}"' in line]
         return any(line.get(name) == value for line in found)
 
-    wait_for(told, f"the log of router {router} to tell {event!r} with {name} {value}")
+    wait_for(is_reported, f"the log of router {router} to have {event!r} with {name} {value}")
--- a/tests/steps/platform_steps.py
+++ b/tests/steps/platform_steps.py
@@ -1,4 +1,4 @@
-"""Steps of routers on the emulated platform, from what callers and servers see."""
+"""Steps of routers on the emulated platform, as callers and servers observe them."""
 
 import http.client
 import re
@@ -22,9 +22,11 @@
     ("Kv-From", "nonsense, more"),
     ("Kv-Fetch", "127.0.0.9:1"),
 )
-"""In several spellings, doubled, and with values that make no sense."""
+"""Headers that only the router sets: in several spellings, repeated, and with invalid values."""
 
-FORGED_PLAIN = {(name.lower().replace("_", "-"), value) for name, value in FORGED_HEADERS}
+NORMALIZED_FORGED_HEADERS = {
+    (name.lower().replace("_", "-"), value) for name, value in FORGED_HEADERS
+}
 
 EVENT_ID = re.compile(rb"id: (\d+)")
 
@@ -43,11 +45,11 @@
     path: str,
     tokens: str = "",
     body: bytes = b"",
-    **extra: str,
+    **extra_headers: str,
 ) -> Attempt:
     parts = f"common:500,{new_id()}:200" if tokens else ""
     headers = make_headers(new_id(), workspace, tokens, parts)
-    headers.update({name.replace("_", "-"): value for name, value in extra.items()})
+    headers.update({name.replace("_", "-"): value for name, value in extra_headers.items()})
     context.attempt = send(node(context, router), method, path, headers, body)
     found: Attempt = context.attempt
     return found
@@ -71,12 +73,12 @@
 
 
 @when('"{workspace}" sends "{method}" "{path}" with "" tokens to router {router:d}')
-def send_plain(context: Any, workspace: str, method: str, path: str, router: int) -> None:
+def send_without_tokens(context: Any, workspace: str, method: str, path: str, router: int) -> None:
     send_request(context, workspace, method, path, "", router)
 
 
 @when('nobody sends "{method}" "{path}" to router {router:d}')
-def send_nameless(context: Any, method: str, path: str, router: int) -> None:
+def send_without_key(context: Any, method: str, path: str, router: int) -> None:
     send_attempt(context, router, None, method, path)
 
 
@@ -101,19 +103,19 @@
     connection.putheader("Content-Length", "0")
     connection.endheaders()
     response = connection.getresponse()
-    shown = {name.title(): value for name, value in response.getheaders()}
-    context.attempt = Attempt(attempt_id, response.status, shown, response.read())
+    response_headers = {name.title(): value for name, value in response.getheaders()}
+    context.attempt = Attempt(attempt_id, response.status, response_headers, response.read())
     connection.close()
 
 
 @then("no server got a header that only the router sets")
 def check_system_headers(context: Any) -> None:
-    # The router itself may name an engine to take a prompt's beginning from.
+    # The router itself may name an engine from which to fetch the beginning of a prompt.
     addresses = set(context.nodes.addresses.values())
     for server, seen in context.nodes.describe()["servers"].items():
         for name, value in seen["system_headers"]:
             assert name == "kv-fetch" and value in addresses, (server, name, value)
-            assert (name, value) not in FORGED_PLAIN, (server, name, value)
+            assert (name, value) not in NORMALIZED_FORGED_HEADERS, (server, name, value)
 
 
 @when('"{workspace}" sends "{method}" "{path}" with a body in chunks to router {router:d}')
@@ -124,13 +126,15 @@
     pieces = iter([b"one ", b"two ", b"three"])
     connection.request(method, path, body=pieces, headers=headers, encode_chunked=True)
     response = connection.getresponse()
-    shown = {name.title(): value for name, value in response.getheaders()}
-    context.attempt = Attempt(headers["Attempt-Id"], response.status, shown, response.read())
+    response_headers = {name.title(): value for name, value in response.getheaders()}
+    context.attempt = Attempt(
+        headers["Attempt-Id"], response.status, response_headers, response.read()
+    )
     connection.close()
 
 
 @when('"{workspace}" sends "{method}" "{path}" with a body of {size:d} bytes to router {router:d}')
-def send_large(
+def send_large_body(
     context: Any, workspace: str, method: str, path: str, size: int, router: int
 ) -> None:
     send_attempt(context, router, workspace, method, path, "", b"x" * size)
@@ -184,7 +188,7 @@
 
 
 @then('the server did not see "{name}"')
-def check_unseen(context: Any, name: str) -> None:
+def check_not_seen(context: Any, name: str) -> None:
     _, seen = _server_headers(context)
     assert name not in seen, seen
 
@@ -201,7 +205,7 @@
 
 
 @when("a caller sends a head with bare line feeds to router {router:d}")
-def send_bare(context: Any, router: int) -> None:
+def send_bare_line_feeds(context: Any, router: int) -> None:
     content = f"GET /open/a HTTP/1.1\nHost: {HOST}\nAttempt-Id: a\n\n"
     context.raw = send_raw(node(context, router), content.encode())
 
@@ -213,7 +217,7 @@
 
 
 @when("a caller sends half a head and waits at router {router:d}")
-def send_half(context: Any, router: int) -> None:
+def send_half_head(context: Any, router: int) -> None:
     content = f"GET /open/a HTTP/1.1\r\nHost: {HOST}\r\n"
     context.raw = send_raw(node(context, router), content.encode())
 
--- a/tests/steps/raw_caller_steps.py
+++ b/tests/steps/raw_caller_steps.py
@@ -1,4 +1,4 @@
-"""Steps of callers that speak raw HTTP: hostile heads and bodies, and leaving early."""
+"""Steps of callers that write raw HTTP: malformed heads and bodies, early disconnects."""
 
 import json
 import re
@@ -12,14 +12,16 @@
 from standins.network import http, wait_for
 
 
-def _raw(context: Any, number: int, content: bytes, more: bytes = b"", times: int = 0) -> None:
+def _send_raw(
+    context: Any, number: int, content: bytes, repeated: bytes = b"", repetitions: int = 0
+) -> None:
     connection = socket.create_connection(("127.0.0.1", router(context, number).port), 20)
     try:
         connection.sendall(content)
-        for _ in range(times):
-            connection.sendall(more)
+        for _ in range(repetitions):
+            connection.sendall(repeated)
     except OSError:
-        pass  # The router has hung up on what it will not read.
+        pass  # The router has closed the connection without reading everything.
     try:
         context.raw_answer = connection.recv(4096)
     except OSError:
@@ -27,29 +29,29 @@
     connection.close()
 
 
-def _raw_head(context: Any, extra: str) -> bytes:
+def _make_raw_head(context: Any, extra_headers: str) -> bytes:
     key = context.fleet.workspaces["planners"].key
     head = "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n"
-    return (head + f"Authorization: Bearer {key}\r\n{extra}\r\n").encode()
+    return (head + f"Authorization: Bearer {key}\r\n{extra_headers}\r\n").encode()
 
 
 @when("a raw caller streams an endless chunked body to router {number:d}")
-def raw_endless(context: Any, number: int) -> None:
+def send_endless_body(context: Any, number: int) -> None:
     chunk = b"10000\r\n" + b"x" * 65536 + b"\r\n"
-    head = _raw_head(context, "Transfer-Encoding: chunked\r\n")
-    _raw(context, number, head, chunk, 200)
+    head = _make_raw_head(context, "Transfer-Encoding: chunked\r\n")
+    _send_raw(context, number, head, chunk, 200)
 
 
 @when("a raw caller sends both Content-Length and Transfer-Encoding to router {number:d}")
-def raw_both(context: Any, number: int) -> None:
-    head = _raw_head(context, "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n")
-    _raw(context, number, head + b"0\r\n\r\n")
+def send_both_lengths(context: Any, number: int) -> None:
+    head = _make_raw_head(context, "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n")
+    _send_raw(context, number, head + b"0\r\n\r\n")
 
 
 @when("a raw caller sends 100 KB of headers to router {number:d}")
-def raw_headers(context: Any, number: int) -> None:
-    extra = "".join(f"X-Filler-{index}: {'y' * 1000}\r\n" for index in range(100))
-    _raw(context, number, _raw_head(context, extra))
+def send_large_headers(context: Any, number: int) -> None:
+    extra_headers = "".join(f"X-Filler-{index}: {'y' * 1000}\r\n" for index in range(100))
+    _send_raw(context, number, _make_raw_head(context, extra_headers))
 
 
 @then("the raw answer says {status:d}")
@@ -57,7 +59,7 @@
     assert re.match(rb"HTTP/1\.[01] %d" % status, context.raw_answer), context.raw_answer
 
 
-def _leave_after(context: Any, workspace: str, number: int, tokens: int, size: int) -> None:
+def _disconnect_after(context: Any, workspace: str, number: int, tokens: int, pieces: int) -> None:
     content = {
         "model": "diagnosis",
         "messages": [{"role": "user", "content": "long"}],
@@ -72,35 +74,36 @@
     )
     connection = socket.create_connection(("127.0.0.1", router(context, number).port), 20)
     connection.sendall(head.encode() + body)
-    seen = b""
-    while seen.count(b"data: ") < size:
-        seen += connection.recv(4096)
-    if size == 0:
+    received = b""
+    while received.count(b"data: ") < pieces:
+        received += connection.recv(4096)
+    if pieces == 0:
         time.sleep(0.3)
     connection.close()
 
 
 @when(
-    'a caller of "{workspace}" leaves router {number:d} after {size:d} pieces of {tokens:d} tokens'
+    'a caller of "{workspace}" leaves router {number:d} after {pieces:d} pieces'
+    " of {tokens:d} tokens"
 )
-def leave_stream(context: Any, workspace: str, number: int, size: int, tokens: int) -> None:
-    _leave_after(context, workspace, number, tokens, size)
+def leave_stream(context: Any, workspace: str, number: int, pieces: int, tokens: int) -> None:
+    _disconnect_after(context, workspace, number, tokens, pieces)
 
 
 @when('a caller of "{workspace}" leaves router {number:d} while it waits')
 def leave_queue(context: Any, workspace: str, number: int) -> None:
-    _leave_after(context, workspace, number, 10, 0)
+    _disconnect_after(context, workspace, number, 10, 0)
 
 
-@given("a router that takes {count:d} connections")
-def small_router(context: Any, count: int) -> None:
+@given("a router that accepts {count:d} connections")
+def start_small_router(context: Any, count: int) -> None:
     fleet = context.fleet
     settings = fleet.make_settings("vm-small")
     settings["limits"] = {"connections": count}
     program = fleet.start_router("vm-small", settings)
     context.add_cleanup(fleet.routers.pop, "vm-small")
     context.add_cleanup(fleet.kill, program)
-    context.small = program
+    context.small_router = program
 
     def is_healthy() -> bool:
         answer = http("GET", program.operators_address, "/healthz")
@@ -112,26 +115,26 @@
 @when("{count:d} connections to it are held open")
 def hold_connections(context: Any, count: int) -> None:
     context.held = [
-        socket.create_connection(("127.0.0.1", context.small.port), 20) for _ in range(count)
+        socket.create_connection(("127.0.0.1", context.small_router.port), 20) for _ in range(count)
     ]
     context.add_cleanup(lambda: [held.close() for held in context.held])
 
 
 @then('a third is refused with status {status:d} and reason "{reason}"')
-def check_third(context: Any, status: int, reason: str) -> None:
+def check_third_refused(context: Any, status: int, reason: str) -> None:
     def is_refused() -> bool:
-        result = make_caller(context, "planners").chat(context.small.address, "third", 2)
+        result = make_caller(context, "planners").chat(context.small_router.address, "third", 2)
         return result.status == status and result.error["code"] == reason
 
     wait_for(is_refused, "the third connection to be refused", 10)
 
 
-@then("the router takes a connection again once one is closed")
-def check_again(context: Any) -> None:
+@then("the router accepts a connection again once one is closed")
+def check_accepts_again(context: Any) -> None:
     context.held.pop().close()
 
     def is_served() -> bool:
-        result = make_caller(context, "planners").chat(context.small.address, "again", 2)
+        result = make_caller(context, "planners").chat(context.small_router.address, "again", 2)
         return result.status == 200
 
-    wait_for(is_served, "a connection to be taken again", 10)
+    wait_for(is_served, "a connection to be accepted again", 10)
