--- a/packages/operator/src/myrtlehook_operator/__main__.py
+++ b/packages/operator/src/myrtlehook_operator/__main__.py
@@ -1,4 +1,4 @@
-"""Lets ``python -m myrtlehook_operator`` run the tool."""
+"""Runs the operator's tool: ``python -m myrtlehook_operator``."""
 
 from myrtlehook_operator import main
 
--- a/packages/operator/src/myrtlehook_operator/process/__init__.py
+++ b/packages/operator/src/myrtlehook_operator/process/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for one run of the tool: its commands and what they print."""
+"""The state of one run of the tool: its commands and their output."""
--- a/packages/operator/src/myrtlehook_operator/process/commands.py
+++ b/packages/operator/src/myrtlehook_operator/process/commands.py
@@ -17,20 +17,20 @@
     print_json,
     print_losses,
     print_plan,
+    print_request_events,
     print_shares,
     print_statuses,
-    print_story,
 )
 from myrtlehook_operator.request.losses import LossReport, report_losses
+from myrtlehook_operator.request.request_events import collect_events
 from myrtlehook_operator.request.share_accounts import find_worst_shares
-from myrtlehook_operator.request.stories import tell_story
 from myrtlehook_operator.version.intents import apply_intent, load_intent
 from myrtlehook_operator.version.plans import (
     Plan,
-    base_has_moved,
+    compute_manifest_digest,
+    is_base_outdated,
     load_plan,
     make_plan,
-    plan_digest,
     write_documents,
 )
 from myrtlehook_operator.version.published import Published, Unreachable, read_published
@@ -84,20 +84,20 @@
 
 @app.command(epilog="Example: myrtlehook explain 9c41d07be2a35f68 logs/*.log")
 def explain(
-    request_id: Annotated[str, typer.Argument(help="The id that the answer carries.")],
+    request_id: Annotated[str, typer.Argument(help="The request id from the answer.")],
     logs: Annotated[list[Path], typer.Argument(help="Log files of the routers.")],
     as_json: Json = False,
 ) -> None:
-    """Tell a request's story from log files; exit 1 if they tell nothing of it."""
-    story = tell_story(request_id, [_read_file(path).splitlines() for path in logs])
+    """Show the events of a request from log files; exit 1 if there are none."""
+    request_events = collect_events(request_id, [_read_file(path).splitlines() for path in logs])
     if as_json:
-        print_json({"story": [asdict(line) for line in story]})
+        print_json({"story": [asdict(event) for event in request_events]})
     else:
-        print_story(story)
-    if not story:
+        print_request_events(request_events)
+    if not request_events:
         print_error(
-            f"{request_id}: no line of {len(logs)} logs tells of it; if it was refused in an"
-            " overload, it is in a sum of `requests refused`, which name only a few ids"
+            f"{request_id}: not found in {len(logs)} log files; if it was refused in an overload,"
+            " it is counted in a `requests refused` line, which lists only a few ids"
         )
         raise typer.Exit(EXIT_REFUSED)
 
@@ -105,11 +105,13 @@
 @app.command(epilog="Example: myrtlehook losses logs/*.log --plot losses.png")
 def losses(
     logs: Annotated[list[Path], typer.Argument(help="Log files of the routers.")],
-    rows: Annotated[int, typer.Option(help="Most rows of each table.")] = 8,
-    plot: Annotated[Path | None, typer.Option(help="Draw losses over time here, as PNG.")] = None,
+    rows: Annotated[int, typer.Option(help="Maximum number of rows in each table.")] = 8,
+    plot: Annotated[
+        Path | None, typer.Option(help="Write a PNG plot of losses over time here.")
+    ] = None,
     as_json: Json = False,
 ) -> None:
-    """Tell what callers lost, the largest first, from log files; exit 1 if none is read."""
+    """Sum up lost requests from log files, the largest first; exit 1 if no request is found."""
     report = report_losses(_read_file(path).splitlines() for path in logs)
     shares = find_worst_shares(report.ends, report.begins_s)
     if as_json:
@@ -128,9 +130,9 @@
         print_losses(report, rows)
         print_shares(shares[:rows])
     if plot is not None:
-        _draw(report, plot)
+        _write_plot(report, plot)
     if not report.requests:
-        print_error(f"no line of {len(logs)} logs tells how a request ended")
+        print_error(f"no end of a request was found in {len(logs)} log files")
         raise typer.Exit(EXIT_REFUSED)
 
 
@@ -138,10 +140,10 @@
 def plan(
     intent: Annotated[Path, typer.Argument(help="The intent: JSON with comments.")],
     platform: PlatformAddress,
-    out: Annotated[Path, typer.Option(help="Where the plan file goes.")] = Path("plan.json"),
+    out: Annotated[Path, typer.Option(help="Path of the plan file to write.")] = Path("plan.json"),
     as_json: Json = False,
 ) -> None:
-    """Show what an intent would change, and write the plan file; nothing takes effect."""
+    """Show what an intent would change, and write a plan file; nothing is published."""
     loaded = load_intent(_read_file(intent), intent.name)
     if isinstance(loaded, Err):
         _stop_with_findings(loaded.err_value)
@@ -149,13 +151,13 @@
     applied = apply_intent(base.part, loaded.ok_value, intent.name)
     if isinstance(applied, Err):
         _stop_with_findings(applied.err_value)
-    made = make_plan(base, applied.ok_value)
-    if not made.document.changes:
-        _print_made(made, as_json)
+    new_plan = make_plan(base, applied.ok_value)
+    if not new_plan.document.changes:
+        _output_plan(new_plan, as_json)
         OUT.print("nothing changes; no plan file was written")
         return
-    _write_plan(out, made)
-    _print_made(made, as_json)
+    _write_plan(out, new_plan)
+    _output_plan(new_plan, as_json)
     if not as_json:
         OUT.print(f"plan written to {out}; confirm it with: myrtlehook confirm {out}")
 
@@ -169,15 +171,15 @@
     out: Annotated[Path, typer.Option(help="Folder under version control.")] = Path("published"),
     as_json: Json = False,
 ) -> None:
-    """Write a plan's documents for version control, unless its base has moved."""
+    """Write a plan's documents for version control, unless its base is no longer published."""
     loaded = load_plan(_read_file(plan_file), plan_file.name)
     if isinstance(loaded, Err):
         _stop_with_findings(loaded.err_value)
     document = loaded.ok_value
     base = _read_base(platform)
-    if base_has_moved(document, base):
+    if is_base_outdated(document, base):
         print_error(
-            f"refused: the plan's base is version {document.base_number} "
+            f"refused: the plan was made from version {document.base_number} "
             f"({document.base_digest[:12] or 'nothing'}), but version {base.number} "
             f"({base.digest[:12] or 'nothing'}) is published; plan again"
         )
@@ -188,19 +190,25 @@
         raise typer.Exit(EXIT_BAD_INPUT)
     paths = [str(path) for path in written.ok_value]
     if as_json:
-        print_json({"version": document.number, "digest": plan_digest(document), "written": paths})
+        print_json(
+            {
+                "version": document.number,
+                "digest": compute_manifest_digest(document),
+                "written": paths,
+            }
+        )
         return
     for path in paths:
         OUT.print(f"wrote {path}", markup=False, highlight=False)
-    OUT.print(f"commit these; version {document.number} is in force once they are published")
+    OUT.print(f"commit these files; version {document.number} takes effect once they are published")
 
 
 @app.command(epilog="Example: myrtlehook status 10.0.0.11:8081 10.0.0.12:8081")
 def status(
-    routers: Annotated[list[str], typer.Argument(help="Operators' addresses of routers.")],
+    routers: Annotated[list[str], typer.Argument(help="Operator addresses of routers.")],
     as_json: Json = False,
 ) -> None:
-    """Show who owns what, who waits, and which configuration is in force."""
+    """Show owners of backend servers, queues, and the configuration version in force."""
     answers = {address: _read_status(address) for address in routers}
     seen = [answer for answer in answers.values() if answer is not None]
     silent = [address for address, answer in answers.items() if answer is None]
@@ -212,11 +220,11 @@
         raise typer.Exit(EXIT_UNREACHABLE)
 
 
-def _draw(report: LossReport, path: Path) -> None:
+def _write_plot(report: LossReport, path: Path) -> None:
     try:
         plot_losses(report, path)
     except ImportError as error:
-        print_error(f"--plot: saw no matplotlib ({error}), expected it installed; pip install it")
+        print_error(f"--plot: matplotlib is not installed ({error}); install it with pip")
         raise typer.Exit(EXIT_BAD_INPUT) from error
     except OSError as error:
         print_error(f"{path}: {error}")
@@ -251,25 +259,25 @@
     return _stop_with_findings(failure)
 
 
-def _write_plan(path: Path, made: Plan) -> None:
+def _write_plan(path: Path, new_plan: Plan) -> None:
     try:
-        path.write_text(made.document.model_dump_json(indent=1) + "\n", encoding="utf-8")
+        path.write_text(new_plan.document.model_dump_json(indent=1) + "\n", encoding="utf-8")
     except OSError as error:
         print_error(f"{path}: {error}")
         raise typer.Exit(EXIT_BAD_INPUT) from error
 
 
-def _print_made(made: Plan, as_json: bool) -> None:
+def _output_plan(new_plan: Plan, as_json: bool) -> None:
     if not as_json:
-        print_plan(made)
+        print_plan(new_plan)
         return
     print_json(
         {
-            "base_number": made.document.base_number,
-            "number": made.document.number,
-            "changes": made.document.changes,
-            "entitlements": [asdict(item) for item in made.entitlements],
-            "warnings": made.document.warnings,
+            "base_number": new_plan.document.base_number,
+            "number": new_plan.document.number,
+            "changes": new_plan.document.changes,
+            "entitlements": [asdict(item) for item in new_plan.entitlements],
+            "warnings": new_plan.document.warnings,
         }
     )
 
--- a/packages/operator/src/myrtlehook_operator/process/loss_plots.py
+++ b/packages/operator/src/myrtlehook_operator/process/loss_plots.py
@@ -1,4 +1,4 @@
-"""Draws lost requests over time as PNG."""
+"""Plots lost requests over time as PNG."""
 
 from pathlib import Path
 
@@ -6,9 +6,9 @@
 
 
 def plot_losses(report: LossReport, path: Path) -> None:
-    """Draw how many requests were lost in each second, by kind.
+    """Plot the number of requests lost in each second, by kind.
 
-    :raises ImportError: where matplotlib is not installed.
+    :raises ImportError: if matplotlib is not installed.
     """
     import matplotlib
 
--- a/packages/operator/src/myrtlehook_operator/process/reports.py
+++ b/packages/operator/src/myrtlehook_operator/process/reports.py
@@ -1,4 +1,4 @@
-"""What the tool prints: tables for people, JSON for programs."""
+"""The tool's output: tables for people, JSON for programs."""
 
 import json
 from collections.abc import Sequence
@@ -9,8 +9,8 @@
 
 from myrtlehook_core import Finding
 from myrtlehook_operator.request.losses import LossReport
+from myrtlehook_operator.request.request_events import RequestEvent
 from myrtlehook_operator.request.share_accounts import SPAN_S, ShareAccount
-from myrtlehook_operator.request.stories import StoryLine
 from myrtlehook_operator.version.plans import Plan
 
 OUT = Console()
@@ -23,7 +23,7 @@
 
 
 def print_findings(findings: Sequence[Finding]) -> None:
-    """Print every finding, a line each."""
+    """Print each finding on a line."""
     for finding in findings:
         ERR.print(str(finding), markup=False, highlight=False, soft_wrap=True)
 
@@ -34,22 +34,22 @@
 
 
 def print_plan(plan: Plan) -> None:
-    """Print what a plan changes, who gains or loses, and what to look at twice."""
+    """Print a plan's changes, the changed entitlements and the warnings."""
     document = plan.document
     OUT.print(f"version {document.base_number} -> {document.number}")
     for change in document.changes:
         OUT.print(f"  {change}", markup=False, highlight=False, soft_wrap=True)
     if plan.entitlements:
-        OUT.print(_entitlement_table(plan))
+        OUT.print(_make_entitlement_table(plan))
     for warning in document.warnings:
         OUT.print(f"warning: {warning}", markup=False, highlight=False, soft_wrap=True)
 
 
 def print_statuses(statuses: Sequence[dict[str, Any]], silent: Sequence[str]) -> None:
     """Print routers, backend servers and queues of a fleet."""
-    OUT.print(_router_table(statuses))
-    OUT.print(_server_table(statuses))
-    OUT.print(_queue_table(statuses))
+    OUT.print(_make_router_table(statuses))
+    OUT.print(_make_server_table(statuses))
+    OUT.print(_make_queue_table(statuses))
     for address in silent:
         OUT.print(f"no answer from {address}", markup=False, highlight=False)
     versions = {
@@ -59,7 +59,7 @@
         OUT.print(f"warning: {len(versions)} configuration versions are in force")
 
 
-def _entitlement_table(plan: Plan) -> Table:
+def _make_entitlement_table(plan: Plan) -> Table:
     table = Table("workspace", "pool", "slots before", "slots after", "change")
     for item in plan.entitlements:
         change = item.slots_after - item.slots_before
@@ -73,7 +73,7 @@
     return table
 
 
-def _router_table(statuses: Sequence[dict[str, Any]]) -> Table:
+def _make_router_table(statuses: Sequence[dict[str, Any]]) -> Table:
     table = Table("vm", "version", "from", "queued", "running", "peers alive", "draining")
     for status in statuses:
         alive = sum(1 for peer in status["peers"] if peer["state"] == "alive")
@@ -89,7 +89,7 @@
     return table
 
 
-def _server_table(statuses: Sequence[dict[str, Any]]) -> Table:
+def _make_server_table(statuses: Sequence[dict[str, Any]]) -> Table:
     table = Table("backend server", "pool", "owner", "held", "slots", "foreign", "leaving")
     for status in statuses:
         for server in status["servers"]:
@@ -107,7 +107,7 @@
     return table
 
 
-def _queue_table(statuses: Sequence[dict[str, Any]]) -> Table:
+def _make_queue_table(statuses: Sequence[dict[str, Any]]) -> Table:
     table = Table("workspace", "pool", "vm", "queued", "running", "virtual service", "served here")
     rows = [(queue, status["vm"]) for status in statuses for queue in status["queues"]]
     for queue, vm in sorted(rows, key=lambda row: (row[0]["pool"], row[0]["workspace"], row[1])):
@@ -123,23 +123,25 @@
     return table
 
 
-def print_story(story: list[StoryLine]) -> None:
-    """Print what routers logged of a request, a line each."""
-    for line in story:
-        facts = "  ".join(f"{name}={value}" for name, value in line.facts)
-        OUT.print(f"{line.timestamp}  {line.vm}  {line.event}: {facts}", soft_wrap=True)
+def print_request_events(request_events: list[RequestEvent]) -> None:
+    """Print each log event of a request on a line."""
+    for event in request_events:
+        facts = "  ".join(f"{name}={value}" for name, value in event.facts)
+        OUT.print(f"{event.timestamp}  {event.vm}  {event.event}: {facts}", soft_wrap=True)
 
 
-def print_losses(report: LossReport, most_rows: int) -> None:
-    """Print what was lost, a table for each dimension."""
-    OUT.print(f"{report.lost} of {report.requests} requests lost something")
+def print_losses(report: LossReport, max_rows: int) -> None:
+    """Print the lost requests in one table for each dimension."""
+    OUT.print(f"{report.lost} of {report.requests} requests were lost")
     if report.summed:
-        OUT.print(f"{report.summed} of them were refused and are told in sums, without their ids")
+        OUT.print(
+            f"{report.summed} of them were refused and are logged only in sums, without their ids"
+        )
     for vm, lines in sorted(report.dropped_lines.items()):
         OUT.print(f"the log of {vm} is incomplete: it could not write {lines} lines")
     for dimension, losses in report.tables.items():
         table = Table(dimension, "kind", "reason", "requests", "prompt tokens", "explain")
-        for loss in losses[:most_rows]:
+        for loss in losses[:max_rows]:
             table.add_row(
                 loss.place,
                 str(loss.kind),
@@ -149,15 +151,15 @@
                 loss.example,
             )
         OUT.print(table)
-        if len(losses) > most_rows:
-            OUT.print(f"{len(losses) - most_rows} more")
+        if len(losses) > max_rows:
+            OUT.print(f"{len(losses) - max_rows} more")
 
 
 def print_shares(accounts: Sequence[ShareAccount]) -> None:
-    """Print what the worst served workspaces asked for and received."""
+    """Print the requested and received tokens of the worst served workspaces."""
     if not accounts:
         return
-    OUT.print(f"shares, {SPAN_S} s each, of workspaces that were refused something in each second")
+    OUT.print(f"shares over {SPAN_S} s of workspaces that were refused requests in each second")
     table = Table(
         "workspace", "from second", "asked", "received", "best received", "part", "refused"
     )
--- a/packages/operator/src/myrtlehook_operator/request/__init__.py
+++ b/packages/operator/src/myrtlehook_operator/request/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for one request: its story, told from logs."""
+"""What logs show of requests: their events, losses and shares."""
--- a/packages/operator/src/myrtlehook_operator/request/losses.py
+++ b/packages/operator/src/myrtlehook_operator/request/losses.py
@@ -1,7 +1,8 @@
-"""What callers lost, from routers' logs alone: late, refused and broken off answers.
+"""Sums up lost requests from the routers' logs: late, refused and broken off answers.
 
-Each request leaves one line at its end. What is lost is told by kind and reason, and summed
-by route, workspace, second and router, so that the largest sum shows where to look first.
+Routers log one line at the end of each request; a line may stand for many refused requests.
+Losses are summed by kind and reason for each route, workspace, second and router, so that the
+largest sum shows where to look first.
 """
 
 from collections.abc import Iterable
@@ -10,31 +11,31 @@
 from enum import StrEnum
 from typing import Any
 
-from myrtlehook_operator.request.stories import read_line
+from myrtlehook_operator.request.request_events import parse_line
 
-REFUSED_PREFIX = "refused: "
-REFUSED = "request refused"
-SUM_REFUSED = "requests refused"
-LINES_DROPPED = "log lines dropped"
-ENDS = frozenset({"request ended", REFUSED, SUM_REFUSED})
+REFUSED_DETAIL_PREFIX = "refused: "
+REFUSED_EVENT = "request refused"
+REFUSED_SUM_EVENT = "requests refused"
+LINES_DROPPED_EVENT = "log lines dropped"
+END_EVENTS = frozenset({"request ended", REFUSED_EVENT, REFUSED_SUM_EVENT})
 
 
 class LossKind(StrEnum):
-    """How a request's caller fared worse than its route aims at."""
+    """The way in which a request was lost."""
 
     LATE = "late"
-    """The whole answer came, but began beyond the route's aim."""
+    """The answer was complete, but began later than the route's first-token target."""
     REFUSED = "refused"
-    """Nothing ran; the caller was told when to come back."""
+    """The request was not run; the client was told when to retry."""
     BROKEN_OFF = "broken off"
-    """It was sent, and no whole answer came."""
+    """The request was sent, but no complete answer came."""
     LEFT = "left"
-    """The caller closed its connection before the end."""
+    """The client closed its connection before the end."""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestEnd:
-    """One request's last line."""
+    """The log line with which a request ended."""
 
     at_s: float
     """Seconds since 1970, by the clock of the router's VM."""
@@ -43,23 +44,23 @@
     route: str
     workspace: str
     tokens: int
-    """Of its prompt; 0 for plain services."""
+    """Prompt tokens; 0 for plain services."""
     kind: LossKind | None
-    """None when nothing was lost."""
+    """None if nothing was lost."""
     reason: str
     requests: int = 1
-    """More than one where the log tells of refusals in a sum."""
+    """More than 1 if the line sums up several refusals."""
     share_tokens: int = 0
-    """As shares count them; 0 for plain services, and where the body was not read."""
-    asked_at_s: float = 0.0
-    """When the request came, on the scale of its end."""
+    """Tokens as charged to shares; 0 for plain services and if the body was not read."""
+    arrived_at_s: float = 0.0
+    """When the request arrived, by the same clock as ``at_s``."""
     begun_at_s: float | None = None
-    """When its answer began; None for none."""
+    """When its answer began; None if there was none."""
 
 
 @dataclass(slots=True)
 class Loss:
-    """All requests that were lost in one way at one place."""
+    """All requests that were lost at one place for the same reason."""
 
     place: str
     """A route, a workspace, a second or a router."""
@@ -68,19 +69,19 @@
     requests: int = 0
     tokens: int = 0
     example: str = ""
-    """A request's id, for ``myrtlehook explain``."""
+    """The id of one of the requests, for ``myrtlehook explain``."""
 
 
 @dataclass(slots=True)
 class LossReport:
-    """Everything that the logs tell of losses."""
+    """All losses found in the logs."""
 
     requests: int = 0
     lost: int = 0
     summed: int = 0
-    """Of the lost ones, those that logs tell of in sums only, without their ids."""
+    """The number of lost requests that are logged only in sums, without their ids."""
     dropped_lines: dict[str, int] = field(default_factory=dict)
-    """By router, log lines that it could not write: its log is incomplete."""
+    """The number of log lines that a router could not write, by router: its log is incomplete."""
     begins_s: float = 0.0
     ends: list[RequestEnd] = field(default_factory=list)
     tables: dict[str, list[Loss]] = field(default_factory=dict)
@@ -88,11 +89,11 @@
 
 
 def report_losses(logs: Iterable[Iterable[str]]) -> LossReport:
-    """Sum up the losses that logs tell of."""
+    """Sum up the losses in logs."""
     report = LossReport()
     for log in logs:
         for line in log:
-            _take_line(report, line)
+            _add_line(report, line)
     report.requests = sum(end.requests for end in report.ends)
     report.summed = sum(end.requests for end in report.ends if end.requests > 1)
     report.begins_s = min((end.at_s for end in report.ends), default=0.0)
@@ -109,20 +110,20 @@
     return report
 
 
-def read_end(line: str) -> RequestEnd | None:
-    """Read a log line; None when it is not a request's last one.
+def parse_end(line: str) -> RequestEnd | None:
+    """Parse a log line; return None if it does not end a request.
 
-    Whatever collects logs may put words of its own before each line.
+    A log collector may put text of its own before each line.
     """
     if '"request' not in line:
         return None
-    content = read_line(line)
-    if content is None or content.get("event") not in ENDS:
+    content = parse_line(line)
+    if content is None or content.get("event") not in END_EVENTS:
         return None
-    kind, reason = _judge(content)
+    kind, reason = _classify_end(content)
     ids = content.get("request_ids") or [""]
-    at_s = _read_time(str(content.get("timestamp", "")))
-    asked_at_s = at_s - float(content.get("elapsed_ms") or 0.0) / 1000.0
+    at_s = _parse_time(str(content.get("timestamp", "")))
+    arrived_at_s = at_s - float(content.get("elapsed_ms") or 0.0) / 1000.0
     first_byte_ms = content.get("first_byte_ms")
     return RequestEnd(
         at_s=at_s,
@@ -135,29 +136,29 @@
         reason=reason,
         requests=int(content.get("requests") or 1),
         share_tokens=int(content.get("share_tokens") or 0),
-        asked_at_s=asked_at_s,
-        begun_at_s=None if first_byte_ms is None else asked_at_s + first_byte_ms / 1000.0,
+        arrived_at_s=arrived_at_s,
+        begun_at_s=None if first_byte_ms is None else arrived_at_s + first_byte_ms / 1000.0,
     )
 
 
-def _take_line(report: LossReport, line: str) -> None:
-    end = read_end(line)
+def _add_line(report: LossReport, line: str) -> None:
+    end = parse_end(line)
     if end is not None:
         report.ends.append(end)
         return
-    content = read_line(line) if LINES_DROPPED in line else None
-    if content is not None and content.get("event") == LINES_DROPPED:
+    content = parse_line(line) if LINES_DROPPED_EVENT in line else None
+    if content is not None and content.get("event") == LINES_DROPPED_EVENT:
         vm = str(content.get("vm", ""))
         lines = int(content.get("lines") or 0)
         report.dropped_lines[vm] = report.dropped_lines.get(vm, 0) + lines
 
 
-def _judge(content: dict[str, Any]) -> tuple[LossKind | None, str]:
-    if content["event"] in (REFUSED, SUM_REFUSED):
+def _classify_end(content: dict[str, Any]) -> tuple[LossKind | None, str]:
+    if content["event"] in (REFUSED_EVENT, REFUSED_SUM_EVENT):
         return LossKind.REFUSED, str(content.get("reason", ""))
     detail = str(content.get("detail", ""))
     if content.get("outcome") == "not-run":
-        return LossKind.REFUSED, detail.removeprefix(REFUSED_PREFIX)
+        return LossKind.REFUSED, detail.removeprefix(REFUSED_DETAIL_PREFIX)
     if content.get("outcome") == "unknown":
         left = detail == "the caller left"
         return (LossKind.LEFT if left else LossKind.BROKEN_OFF), detail
@@ -166,16 +167,16 @@
     if first_byte_ms is None or aim_ms is None or first_byte_ms <= aim_ms:
         return None, ""
     waited_ms = content.get("waited_ms") or 0.0
-    # The longer part of the time shows whether the router or the engine was late.
+    # The longer part of the time tells whether the router or the engine caused the delay.
     waited = waited_ms > first_byte_ms - waited_ms
     return LossKind.LATE, "waited for an engine" if waited else "the engine took long"
 
 
-def _sum_by(ends: list[RequestEnd], place_of: Any) -> list[Loss]:
+def _sum_by(ends: list[RequestEnd], get_place: Any) -> list[Loss]:
     sums: dict[tuple[str, str, str], Loss] = {}
     for end in ends:
         assert end.kind is not None
-        key = (place_of(end), end.kind, end.reason)
+        key = (get_place(end), end.kind, end.reason)
         loss = sums.get(key)
         if loss is None:
             loss = sums[key] = Loss(key[0], end.kind, end.reason, example=end.request_id)
@@ -184,7 +185,7 @@
     return sorted(sums.values(), key=lambda loss: (-loss.requests, loss.place, loss.reason))
 
 
-def _read_time(text: str) -> float:
+def _parse_time(text: str) -> float:
     try:
         return datetime.fromisoformat(text.replace("Z", "+00:00")).timestamp()
     except ValueError:
--- a/packages/operator/src/myrtlehook_operator/request/share_accounts.py
+++ b/packages/operator/src/myrtlehook_operator/request/share_accounts.py
@@ -1,7 +1,8 @@
-"""What each workspace asked for and received, from routers' logs alone.
+"""Computes from the routers' logs what each workspace requested and received.
 
-Sizes are in tokens as shares count them. A request is asked for when it reaches its router, and
-received when its answer begins. What no router took in leaves no line: it is missing here.
+Sizes are in tokens as charged to shares. A request counts as asked when it reaches its router,
+and as received when its answer begins. Requests that no router received are not logged,
+and so are missing here.
 """
 
 import math
@@ -12,33 +13,34 @@
 from myrtlehook_operator.request.losses import LossKind, RequestEnd
 
 SPAN_S = 6
-"""Workspaces are compared over so many seconds, which begin at each full second."""
+"""Workspaces are compared over spans of this length, one beginning at each full second."""
 
 
 @dataclass(frozen=True, slots=True)
 class ShareAccount:
-    """One workspace within one span."""
+    """The tokens that one workspace requested and received within one span."""
 
     begins_s: int
-    """Since the first line of the logs."""
+    """Seconds since the first end of a request in the logs."""
     workspace: str
     asked_tokens: int
     received_tokens: int
     best_received_tokens: int
-    """Of the workspace that received the most in this span."""
+    """The tokens of the workspace that received the most in this span."""
     refused_tokens: dict[str, int]
-    """By reason."""
+    """Tokens of refused requests, by reason."""
 
     @property
     def part(self) -> float:
-        """What was received, of the lesser of what was asked and what the best one received."""
+        """The received tokens as a fraction of those asked for, or of those that the best served
+        workspace received if that is less."""
         wanted = min(self.asked_tokens, self.best_received_tokens)
         return self.received_tokens / wanted if wanted else 1.0
 
 
 @dataclass(slots=True)
 class _Second:
-    """What logs tell of one second, by workspace."""
+    """The tokens of one second, by workspace."""
 
     asked_tokens: Counter[str] = field(default_factory=Counter)
     received_tokens: Counter[str] = field(default_factory=Counter)
@@ -48,14 +50,14 @@
 
 
 def find_worst_shares(ends: Iterable[RequestEnd], begins_s: float) -> list[ShareAccount]:
-    """Return the accounts of workspaces that were refused something in each second of a span.
+    """Return the accounts of workspaces that were refused requests in every second of a span.
 
-    :param begins_s: when the first request came, on the scale of the requests' own times.
+    :param begins_s: when the first span begins, by the same clock as the requests' times.
     :returns: the worst span of each workspace, the worst served workspace first.
     """
     seconds: defaultdict[int, _Second] = defaultdict(_Second)
     for end in ends:
-        _count(seconds, end, begins_s)
+        _add_end(seconds, end, begins_s)
     worst: dict[str, ShareAccount] = {}
     for first in range(max(seconds, default=0) - SPAN_S + 2):
         span = [seconds[first + step] for step in range(SPAN_S)]
@@ -66,10 +68,10 @@
     return sorted(worst.values(), key=lambda account: (account.part, account.workspace))
 
 
-def _count(seconds: defaultdict[int, _Second], end: RequestEnd, begins_s: float) -> None:
+def _add_end(seconds: defaultdict[int, _Second], end: RequestEnd, begins_s: float) -> None:
     if not end.share_tokens:
         return
-    asked = seconds[math.floor(end.asked_at_s - begins_s)]
+    asked = seconds[math.floor(end.arrived_at_s - begins_s)]
     asked.asked_tokens[end.workspace] += end.share_tokens
     if end.kind is LossKind.REFUSED:
         asked.refused_tokens[end.workspace][end.reason] += end.share_tokens
--- a/packages/operator/src/myrtlehook_operator/version/__init__.py
+++ b/packages/operator/src/myrtlehook_operator/version/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for one configuration version: what is published, intents, plans."""
+"""Configuration versions: the published one, intents and plans."""
--- a/packages/operator/src/myrtlehook_operator/version/capacities.py
+++ b/packages/operator/src/myrtlehook_operator/version/capacities.py
@@ -1,16 +1,16 @@
-"""Who is entitled to what part of which pool."""
+"""Computes the slots of each pool that a workspace is entitled to."""
 
 from dataclasses import dataclass
 
 from myrtlehook_core import PartDocument
 
-LARGE_LOSS = 0.5
-"""A pool that loses more than this part of its slots is worth a warning."""
+LARGE_LOSS_FRACTION = 0.5
+"""Warn about a pool that loses more than this fraction of its slots."""
 
 
 @dataclass(frozen=True, slots=True)
 class Entitlement:
-    """A workspace's part of a pool while all have work waiting, before and after."""
+    """The slots of a pool that a workspace gets while all workspaces have requests waiting."""
 
     workspace: str
     pool: str
@@ -20,8 +20,8 @@
 
 def find_entitlements(before: PartDocument, after: PartDocument) -> list[Entitlement]:
     """Return every entitlement that changes."""
-    old = _entitled_slots(before)
-    new = _entitled_slots(after)
+    old = _compute_entitled_slots(before)
+    new = _compute_entitled_slots(after)
     changed = []
     for key in sorted(old.keys() | new.keys()):
         slots_before, slots_after = old.get(key, 0.0), new.get(key, 0.0)
@@ -31,8 +31,8 @@
 
 
 def find_warnings(before: PartDocument, after: PartDocument) -> list[str]:
-    """Return what an operator should look at twice."""
-    slots = _pool_slots(after)
+    """Return warnings about changes that may be mistakes."""
+    slots = _sum_pool_slots(after)
     warnings = []
     for workspace in after.workspaces:
         if not any(slots.get(pool, 0) > 0 for pool in workspace.pools):
@@ -43,14 +43,14 @@
     for workspace in before.workspaces:
         if workspace.name not in kept:
             warnings.append(f"workspace {workspace.name} is removed; what it queued is refused")
-    for pool, before_slots in _pool_slots(before).items():
+    for pool, before_slots in _sum_pool_slots(before).items():
         after_slots = slots.get(pool, 0)
-        if after_slots < before_slots * (1.0 - LARGE_LOSS):
+        if after_slots < before_slots * (1.0 - LARGE_LOSS_FRACTION):
             warnings.append(f"pool {pool} shrinks from {before_slots} to {after_slots} slots")
     return warnings
 
 
-def _pool_slots(part: PartDocument) -> dict[str, int]:
+def _sum_pool_slots(part: PartDocument) -> dict[str, int]:
     slots = {pool.name: 0 for pool in part.pools}
     for server in part.backend_servers:
         if not server.leaving:
@@ -58,8 +58,8 @@
     return slots
 
 
-def _entitled_slots(part: PartDocument) -> dict[tuple[str, str], float]:
-    slots = _pool_slots(part)
+def _compute_entitled_slots(part: PartDocument) -> dict[tuple[str, str], float]:
+    slots = _sum_pool_slots(part)
     shares: dict[str, float] = {}
     for workspace in part.workspaces:
         for pool in workspace.pools:
--- a/packages/operator/src/myrtlehook_operator/version/intents.py
+++ b/packages/operator/src/myrtlehook_operator/version/intents.py
@@ -1,4 +1,4 @@
-"""An intent: what an operator wants changed, applied to what is published."""
+"""Intents: the changes that an operator wants, applied to the published configuration."""
 
 from typing import Any
 
@@ -18,7 +18,7 @@
 
 
 class RemovalDocument(Document):
-    """Names to be removed."""
+    """Names of the items to remove."""
 
     workspaces: tuple[str, ...] = ()
     pools: tuple[str, ...] = ()
@@ -26,7 +26,7 @@
 
 
 class IntentDocument(Document):
-    """Items to add or change, by name; a field not given keeps its value."""
+    """Items to add or change, by name; fields that are not given keep their values."""
 
     workspaces: tuple[Item, ...] = ()
     pools: tuple[Item, ...] = ()
@@ -38,7 +38,7 @@
 
 
 def load_intent(text: str, source: str) -> Result[IntentDocument, list[Finding]]:
-    """Read an intent; all findings are returned at once."""
+    """Parse and check an intent; an error holds all findings at once."""
     parsed = parse_document(IntentDocument, text, source)
     if isinstance(parsed, Err):
         return parsed
@@ -54,7 +54,7 @@
 def apply_intent(
     base: PartDocument, intent: IntentDocument, source: str
 ) -> Result[PartDocument, list[Finding]]:
-    """Return what would be published if the intent were confirmed."""
+    """Return the configuration that would be published with the intent."""
     findings: list[Finding] = []
     content = {kind: _apply_kind(base, intent, kind, source, findings) for kind in KINDS}
     validated = validate_content(PartDocument, content, f"{source} applied")
--- a/packages/operator/src/myrtlehook_operator/version/partitions.py
+++ b/packages/operator/src/myrtlehook_operator/version/partitions.py
@@ -1,4 +1,4 @@
-"""Cutting a configuration into parts that stay small and mostly keep their digests."""
+"""Splits a configuration into small parts, most of which keep their digests in a change."""
 
 import hashlib
 import json
@@ -6,29 +6,29 @@
 
 from myrtlehook_core import ManifestDocument, PartDocument, PartReference, digest_text
 
-PART_BYTES = 128 * 1024
-"""Aim for the size of a part: a change makes every router read one part again."""
+TARGET_PART_BYTES = 128 * 1024
+"""Target size of a part. Small, as a change makes every router read the changed part again."""
 
 
 @dataclass(frozen=True, slots=True)
 class PartText:
-    """One part as it is published."""
+    """One part as published."""
 
     key: str
     digest: str
     text: str
 
 
-def cut_into_parts(part: PartDocument) -> list[PartText]:
-    """Cut a configuration by kind, and workspaces and servers by a hash of their name.
+def split_into_parts(part: PartDocument) -> list[PartText]:
+    """Split a configuration by kind, and each kind by a hash of the items' names.
 
-    An item stays in its part whatever else changes, so a small change gives one
-    new part and leaves the digests of the others alone.
+    An item stays in its part while the number of parts stays, so that a small change makes one
+    new part and the others keep their digests.
     """
     texts = []
     for kind in ("pools", "workspaces", "backend_servers"):
         items = [item.model_dump(mode="json") for item in getattr(part, kind)]
-        for index, bucket in enumerate(_buckets(items)):
+        for index, bucket in enumerate(_split_into_buckets(items)):
             if bucket:
                 texts.append(_make_part(kind, index, bucket))
     return texts
@@ -47,13 +47,13 @@
     return PartText(f"{kind}-{index}-{digest[:16]}", digest, text)
 
 
-def _buckets(items: list[dict[str, object]]) -> list[list[dict[str, object]]]:
+def _split_into_buckets(items: list[dict[str, object]]) -> list[list[dict[str, object]]]:
     size = sum(len(json.dumps(item)) for item in items)
     count = 1
-    while size / count > PART_BYTES:
+    while size / count > TARGET_PART_BYTES:
         count *= 2
     buckets: list[list[dict[str, object]]] = [[] for _ in range(count)]
     for item in items:
-        mark = hashlib.sha256(str(item["name"]).encode()).digest()
-        buckets[int.from_bytes(mark[:4], "big") % count].append(item)
+        digest = hashlib.sha256(str(item["name"]).encode()).digest()
+        buckets[int.from_bytes(digest[:4], "big") % count].append(item)
     return buckets
--- a/packages/operator/src/myrtlehook_operator/version/plans.py
+++ b/packages/operator/src/myrtlehook_operator/version/plans.py
@@ -1,4 +1,4 @@
-"""A plan: exactly what would be published, bound to the base that it was made from."""
+"""Plans: the exact documents to publish, bound to the version that they were made from."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -11,7 +11,7 @@
     find_entitlements,
     find_warnings,
 )
-from myrtlehook_operator.version.partitions import cut_into_parts, make_manifest
+from myrtlehook_operator.version.partitions import make_manifest, split_into_parts
 from myrtlehook_operator.version.published import Published
 
 
@@ -36,15 +36,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """A plan with what an operator reads before confirming it."""
+    """A plan and the entitlements that it changes, for review before it is confirmed."""
 
     document: PlanDocument
     entitlements: tuple[Entitlement, ...]
 
 
 def make_plan(base: Published, after: PartDocument) -> Plan:
-    """Make a plan from what is published and what is wanted."""
-    parts = cut_into_parts(after)
+    """Make a plan that replaces the published configuration."""
+    parts = split_into_parts(after)
     number = base.number + 1
     document = PlanDocument(
         base_number=base.number,
@@ -83,17 +83,17 @@
 
 
 def load_plan(text: str, source: str) -> Result[PlanDocument, list[Finding]]:
-    """Read a plan file."""
+    """Parse and check a plan file."""
     return parse_document(PlanDocument, text, source)
 
 
-def base_has_moved(plan: PlanDocument, published: Published) -> bool:
-    """Tell whether something else was published since the plan was made."""
+def is_base_outdated(plan: PlanDocument, published: Published) -> bool:
+    """Return whether another version was published since the plan was made."""
     return plan.base_digest != published.digest
 
 
 def write_documents(plan: PlanDocument, folder: Path) -> Result[list[Path], str]:
-    """Write the documents that version control publishes; parts first, manifest last."""
+    """Write the documents to commit for publishing: the parts first, the manifest last."""
     written: list[Path] = []
     try:
         (folder / "parts").mkdir(parents=True, exist_ok=True)
@@ -105,7 +105,7 @@
     return Ok(written)
 
 
-def plan_digest(plan: PlanDocument) -> str:
+def compute_manifest_digest(plan: PlanDocument) -> str:
     """Return the digest that the plan's manifest will have once it is published."""
     return digest_text(plan.manifest)
 
--- a/packages/operator/src/myrtlehook_operator/version/published.py
+++ b/packages/operator/src/myrtlehook_operator/version/published.py
@@ -1,4 +1,4 @@
-"""What the platform publishes now; it is read and never written."""
+"""Reads the configuration that the platform publishes; never writes it."""
 
 from dataclasses import dataclass
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Published:
-    """The published configuration, joined, with what names it."""
+    """The published configuration, joined from its parts, with its version and digests."""
 
     number: int
     digest: str
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unreachable:
-    """The platform did not answer as it should."""
+    """The platform gave no usable answer."""
 
     message: str
 
--- a/tests/steps/copied_store_property_steps.py
+++ b/tests/steps/copied_store_property_steps.py
@@ -27,7 +27,7 @@
     collect_server_changes,
     expire_deadlines,
 )
-from myrtlehook_platform.store import Followed, Store, StoreAnswer, StoreFailure
+from myrtlehook_platform.store import StoreAnswer, StoreClient, StoreFailure, StoreReplica
 from myrtlehook_router.process.counters import Counters
 from myrtlehook_router.process.read_switches import ReadSwitch
 from standins.histories import History, Network, Source
@@ -115,7 +115,7 @@
         highest_numbers[incarnation] = number
 
 
-class ScriptedStore(Store):
+class ScriptedStore(StoreClient):
     """A client of a simulated store, some of whose answers come from a lagging replica."""
 
     def __init__(self, draw: random.Random) -> None:
@@ -180,13 +180,13 @@
     @drawn(st.integers(0, 10**6))
     def check(seed: int) -> None:
         store = ScriptedStore(random.Random(seed))
-        followed = Followed()
+        followed = StoreReplica()
         loaded, order = False, followed.order
         for number in range(CALLS):
             store.lags = number < CALLS - 4
             if store.lags and store.draw.random() < 0.5:
                 store.change()
-            outcome = store._take(followed, loaded)
+            outcome = store._read_or_watch(followed, loaded)
             assert followed.order >= order, f"{followed.order} after {order}"
             order = followed.order
             if isinstance(outcome, Ok):
@@ -268,14 +268,14 @@
 def check_stale_range(context: Any) -> None:
     store = ScriptedStore(random.Random(1))
     store.lags = False
-    followed = Followed()
-    assert isinstance(store._take(followed, loaded=False), Ok)
+    followed = StoreReplica()
+    assert isinstance(store._read_or_watch(followed, loaded=False), Ok)
     store.era = 2
-    shown = store._take(followed, loaded=True)
+    shown = store._read_or_watch(followed, loaded=True)
     assert isinstance(shown, Err) and shown.err_value.new_era, shown
     store.era = 1
-    refused = store._take(followed, loaded=False)
+    refused = store._read_or_watch(followed, loaded=False)
     assert isinstance(refused, Err) and not refused.err_value.new_era, refused
     store.era = 2
-    assert isinstance(store._take(followed, loaded=False), Ok)
+    assert isinstance(store._read_or_watch(followed, loaded=False), Ok)
     assert followed.order.era == 2
--- a/tests/steps/entry_steps.py
+++ b/tests/steps/entry_steps.py
@@ -16,8 +16,8 @@
     apply_server_changes,
     apply_server_list,
 )
-from myrtlehook_platform.servers import read_server
-from myrtlehook_platform.store import Followed, _decode, _read_servers
+from myrtlehook_platform.servers import parse_server
+from myrtlehook_platform.store import StoreReplica, _decode, _make_server_list
 from myrtlehook_router.process.counters import Counters
 from standins.attempts import make_headers, new_id, send
 from standins.histories import History, Network, Source
@@ -50,7 +50,7 @@
         del entry[name]
     else:
         entry[name] = json.loads(value)
-    context.read = read_server("servers/i-1", json.dumps(entry))
+    context.read = parse_server("servers/i-1", json.dumps(entry))
 
 
 @then('it defines no server, and the fault mentions "{text}"')
@@ -71,11 +71,11 @@
 
     @drawn(st.dictionaries(st.integers(0, 49), corrupted_value, max_size=20))
     def check(corrupted: dict[int, Any]) -> None:
-        followed = Followed(whole=True, order=SourceOrder(0, 3))
+        followed = StoreReplica(fully_read=True, order=SourceOrder(0, 3))
         for number in range(50):
             value = corrupted.get(number, _encode(VALID_ENTRY))
             followed.items[f"servers/i-{number}"] = _decode({"Value": value})
-        found = _read_servers(followed, Counters(None))
+        found = _make_server_list(followed, Counters(None))
         names = {server.instance for server in found.servers}
         valid = {f"i-{number}" for number in range(50) if number not in corrupted}
         assert valid <= names, valid - names
@@ -102,7 +102,7 @@
 
 
 def _make_server(born_ms: int) -> BackendServer:
-    read = read_server("servers/i-1", json.dumps({**VALID_ENTRY, "born": born_ms}))
+    read = parse_server("servers/i-1", json.dumps({**VALID_ENTRY, "born": born_ms}))
     assert isinstance(read, Ok), read
     return read.ok_value
 
--- a/tests/steps/overload_steps.py
+++ b/tests/steps/overload_steps.py
@@ -15,7 +15,7 @@
 
 from myrtlehook_core import Shedding, schedule_retry
 from myrtlehook_operator.request.losses import report_losses
-from myrtlehook_operator.request.stories import read_line, tell_story
+from myrtlehook_operator.request.request_events import collect_events, parse_line
 from standins.attempts import make_headers, new_id
 from standins.network import wait_for
 from standins.nodes import fetch
@@ -72,7 +72,7 @@
 
 @then("{count:d} whole lines arrive")
 def check_lines(context: Any, count: int) -> None:
-    whole = [line for line in context.lines if read_line(line) is not None]
+    whole = [line for line in context.lines if parse_line(line) is not None]
     assert len(whole) == len(context.lines) == count, (len(whole), len(context.lines))
 
 
@@ -109,7 +109,7 @@
 
 @then("the story of a request that a sum names contains that sum")
 def check_story(context: Any) -> None:
-    story = tell_story("large-20", [context.lines])
+    story = collect_events("large-20", [context.lines])
     assert [line.event for line in story] == ["requests refused"], story
 
 
--- a/tests/steps/platform_operator_steps.py
+++ b/tests/steps/platform_operator_steps.py
@@ -13,7 +13,7 @@
 
 from emulator.sites import HOST, make_configuration
 from myrtlehook_platform.configuration import parse_configuration
-from myrtlehook_platform.settings import HEADER_NAMES, make_settings, read_settings
+from myrtlehook_platform.settings import HEADER_NAMES, make_settings, parse_settings
 from myrtlehook_router.request.gateways import specify_request
 from standins.network import wait_for
 from standins.nodes import Node, fetch
@@ -237,7 +237,7 @@
         f"Limits.MemoryMb={memory}",
         f"Limits.FileDescriptorLimit={descriptors}",
     ]
-    fields = read_settings("\n".join(node_file), "node.conf").unwrap()
+    fields = parse_settings("\n".join(node_file), "node.conf").unwrap()
     assert make_settings(fields).max_connections == connections, make_settings(
         fields
     ).max_connections
