--- a/packages/operator/src/myrtlehook_operator/process/reports.py
+++ b/packages/operator/src/myrtlehook_operator/process/reports.py
@@ -132,7 +132,7 @@
 
 def print_losses(report: LossReport, max_rows: int) -> None:
     """Print the lost requests in one table for each dimension."""
-    OUT.print(f"{report.lost} of {report.requests} requests were lost")
+    OUT.print(f"{report.lost} of {report.requests} requests had a loss")
     if report.summed:
         OUT.print(
             f"{report.summed} of them were refused and are logged only in sums, without their ids"
