--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks of myrtlehook; run as ``python -m bench``."""
+"""Benchmarks of myrtlehook; run with ``python -m bench``."""
--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -11,7 +11,11 @@
 from bench import experiments_command  # noqa: E402
 
 POLICIES = ("fleet", "local", "single")
-"""Totals exchanged; every router its own counters only; one router for all."""
+"""Policies of one fleet run.
+
+``fleet``: routers exchange totals; ``local``: each router counts only its own service;
+``single``: one router serves all requests.
+"""
 
 
 def main() -> None:
@@ -20,12 +24,14 @@
     commands = parser.add_subparsers(dest="command", required=True)
     router = commands.add_parser("router", help="one router: latency, streams, memory")
     router.add_argument("--json", type=Path, help="write the figures here as well")
-    fleet = commands.add_parser("fleet", help="a fleet beside its baselines")
+    fleet = commands.add_parser("fleet", help="a fleet, compared with its baselines")
     _add_fleet_options(fleet)
-    commands.add_parser("slopes", help="the core alone at full table sizes")
+    commands.add_parser("slopes", help="costs of the core's events at full table sizes")
     load = commands.add_parser("load", help="the routed interface on the emulated platform")
     _add_load_options(load)
-    experiment = commands.add_parser("experiment", help="variants on the users' bench, paired")
+    experiment = commands.add_parser(
+        "experiment", help="variants on the users' bench, compared in pairs"
+    )
     experiments_command.add_options(experiment)
     arguments = parser.parse_args()
     if arguments.command == "router":
@@ -52,7 +58,7 @@
     parser.add_argument("--fault", default="none", help="none, cut, kill-owner, freeze, ...")
     parser.add_argument("--fault-at", type=float, default=10.0, help="seconds into the run")
     parser.add_argument("--fault-for", type=float, default=10.0, help="seconds")
-    parser.add_argument("--refresh-ms", type=float, default=0.0, help="cadence of reports")
+    parser.add_argument("--refresh-ms", type=float, default=0.0, help="interval of reports")
     parser.add_argument("--json", type=Path, help="write all figures here")
     parser.add_argument("--plot", type=Path, help="write a PNG here")
 
@@ -63,16 +69,18 @@
     parser.add_argument("--rate", type=float, default=30.0, help="requests a second")
     parser.add_argument("--seconds", type=float, default=10.0)
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--flood", type=float, default=0.5, help="one workspace's part of it")
+    parser.add_argument(
+        "--flood", type=float, default=0.5, help="one workspace's fraction of the rate"
+    )
     parser.add_argument("--json", type=Path, help="write all figures here")
     parser.add_argument("--plot", type=Path, help="write a PNG here")
 
 
 def _run_load(arguments: argparse.Namespace) -> None:
-    from bench.platform_load import LoadOrder, measure_load, plot_load
+    from bench.platform_load import LoadOptions, measure_load, plot_load
 
     figures = measure_load(
-        LoadOrder(
+        LoadOptions(
             routers=arguments.routers,
             engines=arguments.engines,
             rate_per_s=arguments.rate,
@@ -81,10 +89,10 @@
             flood_part=arguments.flood,
         )
     )
-    for way, routes in figures.items():
-        for route, seen in routes.items():
-            short = {key: value for key, value in seen.items() if key != "curve_ms"}
-            print(way, route, json.dumps(short))
+    for path_name, routes in figures.items():
+        for route, report in routes.items():
+            summary = {key: value for key, value in report.items() if key != "curve_ms"}
+            print(path_name, route, json.dumps(summary))
     if arguments.json is not None:
         arguments.json.write_text(json.dumps(figures) + "\n")
     if arguments.plot is not None:
@@ -102,22 +110,22 @@
 
 def _run_slopes() -> None:
     from bench.admission_slopes import measure_admission_slopes
-    from bench.notice_slopes import measure_notices
-    from bench.quarantine_slopes import measure_quarantine
+    from bench.notice_slopes import measure_notice_slopes
+    from bench.quarantine_slopes import measure_quarantine_slopes
     from bench.slopes import measure_slopes
 
-    slopes = [*measure_admission_slopes(), *measure_notices()]
-    slopes += [*measure_quarantine(), *measure_slopes()]
+    slopes = [*measure_admission_slopes(), *measure_notice_slopes()]
+    slopes += [*measure_quarantine_slopes(), *measure_slopes()]
     for slope in slopes:
         print(f"{slope.name}: {slope.value:.3g} {slope.unit}")
 
 
 def _run_fleet(arguments: argparse.Namespace) -> None:
-    from bench.bounds import judge
-    from bench.fleet_bench import FleetOrder, measure_policy
+    from bench.bounds import check_bounds
+    from bench.fleet_bench import FleetOptions, measure_policy
     from bench.plots import plot_figures
 
-    order = FleetOrder(
+    options = FleetOptions(
         routers=arguments.routers,
         engines=arguments.engines,
         workspaces=arguments.workspaces,
@@ -130,12 +138,12 @@
     )
     figures = []
     for policy in arguments.policy:
-        measured = measure_policy(order, policy)
+        measured = measure_policy(options, policy)
         figures.append(measured)
-        short = asdict(measured)
-        del short["gaps"], short["service"]
-        print(json.dumps(short), flush=True)
-    results = judge(figures)
+        summary = asdict(measured)
+        del summary["gaps"], summary["service"]
+        print(json.dumps(summary), flush=True)
+    results = check_bounds(figures)
     for result in results:
         verdict = "holds" if result.holds else "BROKEN"
         print(f"{result.name}: {result.measured} against {result.bound}: {verdict}")
--- a/bench/admission_slopes.py
+++ b/bench/admission_slopes.py
@@ -1,4 +1,4 @@
-"""Slopes of admission and shares: what each event costs as its tables grow."""
+"""Costs of admission and share events as their tables grow."""
 
 import random
 import time
@@ -23,29 +23,29 @@
 from myrtlehook_core.process.prompt_caches import PromptCache
 from myrtlehook_core.process.shares import Shares, record_asked
 
-WAITING = (5, 20, 80)
-ENGINES = (9, 100, 667)
-"""Engines of one pool: today's, and up to 10,000 in 15 pools."""
+WAITING_REQUESTS = (5, 20, 80)
+ENGINE_COUNTS = (9, 100, 667)
+"""Numbers of engines in one pool: that of today's sites, up to that of 10,000 in 15 pools."""
 
-REPORTERS = (8, 100, 1200)
-WORKSPACES_A_ROUTER = 30
+REPORTER_COUNTS = (8, 100, 1200)
+WORKSPACES_PER_ROUTER = 30
 PARTS = (PartRow("c0ffee01", 2500), PartRow("5e551001", 3800), PartRow("0a0b0c0d", 2900))
 
 
 def measure_admission_slopes() -> list[Slope]:
-    """Measure every slope of admission and shares."""
+    """Measure the cost of each admission and share event."""
     return [
         *_measure_forecasts(),
         *_measure_ranking(),
         *_measure_accountant(),
-        *_measure_entry_share(),
-        *_measure_wire(),
+        *_measure_ingress_share(),
+        *_measure_message_sizes(),
     ]
 
 
 def _measure_forecasts() -> list[Slope]:
     slopes = []
-    for count in WAITING:
+    for count in WAITING_REQUESTS:
         load = EngineLoad(0.0, PromptCache(232_000), make_model(None))
         for number in range(count):
             load.waiting[f"q{number}"] = _make_waiting(number)
@@ -73,7 +73,7 @@
 
 def _measure_ranking() -> list[Slope]:
     slopes = []
-    for count in ENGINES:
+    for count in ENGINE_COUNTS:
         names = [f"i-{number:010x}" for number in range(count)]
 
         def rank(names: list[str] = names) -> None:
@@ -86,21 +86,21 @@
 def _measure_accountant() -> list[Slope]:
     slopes = []
     draw = random.Random(1)
-    for count in REPORTERS:
+    for count in REPORTER_COUNTS:
         accounts: dict[str, PoolAccount] = {}
         reports = [
-            DemandReport("p", tuple(_demand_row(draw) for _ in range(WORKSPACES_A_ROUTER)))
+            DemandReport("p", tuple(_demand_row(draw) for _ in range(WORKSPACES_PER_ROUTER)))
             for _ in range(count)
         ]
         for number, report in enumerate(reports):
             record_demand_report(accounts, f"r{number}", report, 1e9, 1.0)
 
-        def take(
+        def record_report(
             accounts: dict[str, PoolAccount] = accounts, report: DemandReport = reports[0]
         ) -> None:
             record_demand_report(accounts, "r0", report, 1e6, 1.0)
 
-        cost_ms = _time_ms(take, max(REPEATS // count, 3))
+        cost_ms = _time_ms(record_report, max(REPEATS // count, 3))
         slopes.append(Slope(f"accountant: one report among {count} routers", cost_ms, "ms"))
     return slopes
 
@@ -110,13 +110,13 @@
     return DemandRow(f"workspace-{draw.randrange(17_000)}", tokens, 0, tokens)
 
 
-def _measure_entry_share() -> list[Slope]:
+def _measure_ingress_share() -> list[Slope]:
     shares = Shares()
     cost_ms = _time_ms(lambda: record_asked(shares, "p", "w", 9000, 1.0))
     return [Slope("tier of a request", cost_ms, "ms")]
 
 
-def _measure_wire() -> list[Slope]:
+def _measure_message_sizes() -> list[Slope]:
     name = "workspace-1234/9c41d07be2a35f68"
     request = AdmissionRequest(
         name, "i-7f3a91c2aa", "workspace-1234", PARTS, 9200, 51, 600, 6000, 1, 0, 0
--- a/bench/bounds.py
+++ b/bench/bounds.py
@@ -1,4 +1,4 @@
-"""Regression bounds: ratios against the baselines of the same run, never absolute times."""
+"""Regression bounds on ratios to the baselines of the same run, never on absolute times."""
 
 import json
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BoundResult:
-    """One bound, what was measured, and whether it holds."""
+    """One bound, the measured value, and whether the bound holds."""
 
     name: str
     measured: float
@@ -19,8 +19,8 @@
     holds: bool
 
 
-def judge(figures: list[FleetFigures]) -> list[BoundResult]:
-    """Judge the fleet's figures against those of the baselines that ran beside it."""
+def check_bounds(figures: list[FleetFigures]) -> list[BoundResult]:
+    """Check the fleet's figures against those of the baselines of the same run."""
     bounds = json.loads(BOUNDS_PATH.read_text())
     by_policy = {item.policy: item for item in figures}
     fleet = by_policy.get("fleet")
@@ -29,16 +29,16 @@
     results = []
     single, local = by_policy.get("single"), by_policy.get("local")
     if single is not None:
-        gap = fleet.fairness_gap_tokens / single.fairness_gap_tokens
-        results.append(_at_most("gap_to_single", gap, bounds))
-        use = fleet.utilisation / single.utilisation
-        results.append(_at_least("utilisation_to_single", use, bounds))
+        gap_ratio = fleet.fairness_gap_tokens / single.fairness_gap_tokens
+        results.append(_at_most("gap_to_single", gap_ratio, bounds))
+        utilisation_ratio = fleet.utilisation / single.utilisation
+        results.append(_at_least("utilisation_to_single", utilisation_ratio, bounds))
     if local is not None:
-        gap = fleet.fairness_gap_tokens / local.fairness_gap_tokens
-        results.append(_at_most("gap_to_local", gap, bounds))
-    # Allowed: this factor times the p95 alone, and one mean request besides.
-    beyond_s = fleet.small_flood_first_s["p95"] - fleet.mean_request_s
-    factor = beyond_s / max(fleet.small_alone_first_s["p95"], 1e-9)
+        gap_ratio = fleet.fairness_gap_tokens / local.fairness_gap_tokens
+        results.append(_at_most("gap_to_local", gap_ratio, bounds))
+    # The bound allows this factor times the p95 without load, plus one mean request.
+    excess_s = fleet.small_flood_first_s["p95"] - fleet.mean_request_s
+    factor = excess_s / max(fleet.small_alone_first_s["p95"], 1e-9)
     results.append(_at_most("small_first_token_factor", factor, bounds))
     return results
 
--- a/bench/core_drive.py
+++ b/bench/core_drive.py
@@ -1,7 +1,7 @@
-"""Drives many decision cores in one process over small fakes, to compare choices.
+"""Drives many decision cores in one process over simple fakes, to compare their decisions.
 
-A driver for the core's own decisions, not a simulator of a cluster: messages take
-a fixed time, engines run a request for as long as its cost says.
+This is not a simulator of a cluster: messages take a fixed time, and engines run a request
+for a time that is computed from its cost and the engine's load.
 """
 
 import heapq
@@ -31,14 +31,14 @@
 POOL = "pool"
 TICK_S = 0.02
 LATENCY_S = 0.001
-ENOUGH_QUEUED = 8
+BACKLOG_REQUESTS = 8
 UNITS_PER_S = 100.0
-"""Service units that one slot gives in a second."""
+"""Service units that one slot provides per second."""
 
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """One workspace's load: its share, mean cost, and the routers it comes in by."""
+    """One workspace's load: its share, its mean cost, and the indices of its ingress routers."""
 
     workspace: str
     share: float
@@ -48,31 +48,31 @@
 
 @dataclass(slots=True)
 class DriveResult:
-    """What one drive measured."""
+    """The measurements of one drive."""
 
     largest_gap_units: float = 0.0
     mean_gap_units: float = 0.0
     utilisation: float = 0.0
     messages_per_s: float = 0.0
     bytes_per_s: float = 0.0
-    """Control traffic sent by one router on average."""
+    """Control traffic that one router sends on average."""
     served_units: dict[str, float] = field(default_factory=dict)
     gaps_units: list[float] = field(default_factory=list)
 
 
 def make_loads(count: int, routers: int, draw: random.Random) -> list[Load]:
-    """Make workspaces of unequal shares and costs, placed unevenly over the routers."""
+    """Make workspaces of unequal shares and costs, spread unevenly over the routers."""
     loads = []
     for index in range(count):
-        wanted = max(1, round(routers * draw.choice((0.125, 0.25, 0.5, 1.0))))
-        placed = tuple(sorted(draw.sample(range(routers), wanted)))
+        router_count = max(1, round(routers * draw.choice((0.125, 0.25, 0.5, 1.0))))
+        ingress_routers = tuple(sorted(draw.sample(range(routers), router_count)))
         cost_units = draw.choice((30.0, 100.0, 300.0, 500.0))
-        loads.append(Load(f"w{index}", float(draw.choice((1, 2))), cost_units, placed))
+        loads.append(Load(f"w{index}", float(draw.choice((1, 2))), cost_units, ingress_routers))
     return loads
 
 
 def make_configuration(loads: list[Load], servers: int, slots: int) -> Configuration:
-    """Make a configuration of one pool."""
+    """Make a configuration with one pool."""
     limits = QueueLimits(1_000_000, 1 << 40, 1e9, 1_000_000)
     workspaces = {
         load.workspace: Workspace(load.workspace, load.share, (), frozenset({POOL}), limits)
@@ -90,7 +90,7 @@
 
 
 class Drive:
-    """Many cores, their messages in flight, and their engines."""
+    """Many cores, the messages between them, and their engines."""
 
     def __init__(
         self,
@@ -118,7 +118,10 @@
         self.sent_bytes = 0
         self.requests = 0
         self.delays_s: Callable[[str, str], tuple[float, ...]] = lambda _, __: (LATENCY_S,)
-        """When a message arrives: never if empty, twice if there are two times."""
+        """Returns the delays of a message from one router to another.
+
+        It is lost if there are none, and arrives twice if there are two.
+        """
         self.largest_cost_units = 0.0
         self.dispatched: Counter[str] = Counter()
         for index in range(routers):
@@ -130,23 +133,23 @@
         core.exchange.current = self.configuration
         core.add_seeds([(f"r{other}", f"r{other}") for other in range(routers)], 0.0)
         for member in core.table.members.values():
-            # All are known from the start, so that the drive measures the steady state.
+            # All members are alive from the start, so that the drive measures the steady state.
             member.state = type(member.state).ALIVE
             member.unconfirmed = False
         core.table.version += 1
         self.cores[name] = core
-        self._at(self.draw.random() * TICK_S, lambda: self._tick(name))
+        self._schedule(self.draw.random() * TICK_S, lambda: self._tick(name))
 
-    def _at(self, when_s: float, step: Callable[[], None]) -> None:
+    def _schedule(self, when_s: float, step: Callable[[], None]) -> None:
         self.steps += 1
         heapq.heappush(self.agenda, (when_s, self.steps, step))
 
     def _tick(self, name: str) -> None:
         self.handle(name, events.Tick())
-        self._at(self.now_s + TICK_S, lambda: self._tick(name))
+        self._schedule(self.now_s + TICK_S, lambda: self._tick(name))
 
     def handle(self, name: str, event: events.Event) -> None:
-        """Give a core an event and carry out what it asks."""
+        """Pass an event to a core and carry out the actions that it returns."""
         for action in self.cores[name].handle(event, self.now_s):
             self._carry_out(name, action)
 
@@ -154,20 +157,20 @@
         if isinstance(action, actions.Send):
             self._send(name, action)
         elif isinstance(action, actions.Dispatch):
-            self._start(name, action)
+            self._start_run(name, action)
         elif isinstance(action, actions.PollLoad):
             server = action.backend_server
             report = events.LoadReported(server, 1, self.running_on.get(server, 0), False)
-            self._at(self.now_s + LATENCY_S, lambda: self.handle(name, report))
+            self._schedule(self.now_s + LATENCY_S, lambda: self.handle(name, report))
 
     def _send(self, name: str, action: actions.Send) -> None:
         self.sent_messages += 1
         self.sent_bytes += len(encode_envelope(Envelope(name, 1, (action.message,))))
         event = events.MessageReceived(name, 1, action.message)
         for delay_s in self.delays_s(name, action.router_id):
-            self._at(self.now_s + delay_s, lambda: self.handle(action.router_id, event))
+            self._schedule(self.now_s + delay_s, lambda: self.handle(action.router_id, event))
 
-    def _start(self, name: str, action: actions.Dispatch) -> None:
+    def _start_run(self, name: str, action: actions.Dispatch) -> None:
         workspace = action.request_id.split("/")[0]
         load = self.loads[workspace]
         # Log-normal, with a standard deviation about as large as the mean.
@@ -178,27 +181,27 @@
         self.running_on[server] = self.running_on.get(server, 0) + 1
         running = self.running_on[server]
         slots = self.configuration.backend_servers[server].slots
-        slow = max(1.0, running / slots)
-        taken_s = cost_units / UNITS_PER_S * slow
-        self.running[action.request_id] = (workspace, name, self.now_s, cost_units / taken_s)
+        slowdown = max(1.0, running / slots)
+        run_s = cost_units / UNITS_PER_S * slowdown
+        self.running[action.request_id] = (workspace, name, self.now_s, cost_units / run_s)
         self.waiting[(workspace, name)] -= 1
-        self._top_up(workspace, name)
-        self._at(
-            self.now_s + LATENCY_S + taken_s,
-            lambda: self._finish(name, action.request_id, server, taken_s, cost_units),
+        self._fill_queue(workspace, name)
+        self._schedule(
+            self.now_s + LATENCY_S + run_s,
+            lambda: self._finish_run(name, action.request_id, server, run_s, cost_units),
         )
 
-    def _finish(
-        self, name: str, request_id: str, server: str, taken_s: float, cost_units: float
+    def _finish_run(
+        self, name: str, request_id: str, server: str, run_s: float, cost_units: float
     ) -> None:
         workspace, _, _, _ = self.running.pop(request_id)
         self.running_on[server] -= 1
         self.served_units[workspace] += cost_units
-        self.busy_s += taken_s
+        self.busy_s += run_s
         self.handle(name, events.RunEnded(request_id, cost_units))
 
-    def _top_up(self, workspace: str, name: str) -> None:
-        while self.waiting.setdefault((workspace, name), 0) < ENOUGH_QUEUED:
+    def _fill_queue(self, workspace: str, name: str) -> None:
+        while self.waiting.setdefault((workspace, name), 0) < BACKLOG_REQUESTS:
             self.waiting[(workspace, name)] += 1
             self.requests += 1
             request = RequestSpecification(
@@ -210,36 +213,36 @@
                 self.now_s + 1e6,
             )
             event = events.RequestArrived(request)
-            self._at(self.now_s, lambda event=event: self.handle(name, event))  # type: ignore[misc]
+            self._schedule(self.now_s, lambda event=event: self.handle(name, event))  # type: ignore[misc]
 
-    def _observe(self) -> None:
+    def _report_service(self) -> None:
         for request_id, (_, name, started_s, rate) in list(self.running.items()):
             observed = events.ServiceObserved(request_id, (self.now_s - started_s) * rate)
             self.handle(name, observed)
 
-    def service_now(self) -> dict[str, float]:
-        """Return service so far in units a share, with what runs counted as it goes."""
+    def compute_service_per_share(self) -> dict[str, float]:
+        """Return the service so far in units per share, with the progress of running requests."""
         units = dict(self.served_units)
         for workspace, _, started_s, rate in self.running.values():
             units[workspace] += (self.now_s - started_s) * rate
         return {name: units[name] / self.loads[name].share for name in units}
 
     def fill_queues(self) -> None:
-        """Let every workspace wait wherever it comes in."""
+        """Queue requests of every workspace at each of its ingress routers."""
         for load in self.loads.values():
             for router in load.routers:
-                self._top_up(load.workspace, f"r{router}")
+                self._fill_queue(load.workspace, f"r{router}")
 
     def run(self, seconds: float, warm_up_s: float = 2.0) -> DriveResult:
-        """Keep every workspace backlogged for this long and measure."""
+        """Keep every workspace backlogged for ``seconds`` after a warm-up, and measure."""
         self.fill_queues()
         self.advance(warm_up_s)
-        start = self.service_now()
+        start = self.compute_service_per_share()
         sent_messages, sent_bytes, busy_s = self.sent_messages, self.sent_bytes, self.busy_s
         gaps: list[float] = []
         while self.now_s < warm_up_s + seconds:
             self.advance(self.now_s + 0.1)
-            now = self.service_now()
+            now = self.compute_service_per_share()
             served = [now[name] - start[name] for name in now]
             gaps.append(max(served) - min(served))
         routers = len(self.cores)
@@ -254,14 +257,14 @@
         )
 
     def advance(self, until_s: float) -> None:
-        """Carry out everything that is due by then."""
+        """Carry out all steps that are due until then."""
         next_observation_s = self.now_s
         while self.agenda and self.agenda[0][0] <= until_s:
             when_s, _, step = heapq.heappop(self.agenda)
             self.now_s = max(self.now_s, when_s)
             if self.now_s >= next_observation_s:
                 next_observation_s = self.now_s + 0.1
-                self._observe()
+                self._report_service()
             step()
         self.now_s = until_s
 
@@ -275,12 +278,12 @@
     seed: int,
     seconds: float,
 ) -> DriveResult:
-    """Run one drive with loads drawn from the seed."""
+    """Run one drive with loads that are drawn from the seed."""
     loads = make_loads(workspaces, routers, random.Random(seed))
     return Drive(routers, servers, slots, loads, options, seed).run(seconds)
 
 
-def central_of(workspaces: int, routers: int, seed: int) -> list[Load]:
-    """Return the same loads, all coming in by one router."""
+def make_single_ingress_loads(workspaces: int, routers: int, seed: int) -> list[Load]:
+    """Return the loads of :func:`make_loads`, all with the same single ingress router."""
     loads = make_loads(workspaces, routers, random.Random(seed))
     return [replace(load, routers=(0,)) for load in loads]
--- a/bench/experiment_files.py
+++ b/bench/experiment_files.py
@@ -1,4 +1,4 @@
-"""What an experiment file says: variants, days and seeds, checked before anything is played."""
+"""Experiment files: variants, days and seeds, validated before anything is run."""
 
 from pathlib import Path
 from typing import Annotated, Any
@@ -13,7 +13,7 @@
 
 
 class Variant(msgspec.Struct, frozen=True):
-    """One version of the product."""
+    """One version of the product: a commit and options."""
 
     name: Name
     commit: str = ""
@@ -23,20 +23,20 @@
 
 
 class Experiment(msgspec.Struct, frozen=True):
-    """Variants to be played on the same days; the first one is what others are held against."""
+    """Variants to be run on the same days; the first one is the baseline of the others."""
 
     question: Annotated[str, msgspec.Meta(min_length=1)]
     variants: Annotated[tuple[Variant, ...], msgspec.Meta(min_length=1)]
     sites: Annotated[tuple[Name, ...], msgspec.Meta(min_length=1)]
     days: Annotated[tuple[str, ...], msgspec.Meta(min_length=1)]
     seeds: tuple[int, ...] = ()
-    """Empty for each day's own."""
+    """Empty to use each day's own seed."""
     charged: bool = False
-    """Whether processor time counts; plays repeat best without."""
+    """Whether processor time is charged. Results repeat best if it is not."""
 
 
 def load_experiment(path: Path) -> Result[Experiment, list[Finding]]:
-    """Read an experiment file; all findings are returned at once."""
+    """Read and validate an experiment file; all findings are returned together."""
     try:
         content = jsonc.loads(path.read_text(encoding="utf-8"))
     except (OSError, ValueError) as error:
--- a/bench/experiment_runs.py
+++ b/bench/experiment_runs.py
@@ -1,4 +1,4 @@
-"""Plays an experiment's variants on clean checkouts, one after the other on each core."""
+"""Runs an experiment's variants on clean checkouts, at most ``jobs`` runs at a time."""
 
 import json
 import re
@@ -11,25 +11,25 @@
 from bench.experiment_files import Experiment, Variant
 
 ROOT = Path(__file__).resolve().parent.parent
-SNAPSHOT = re.compile(r"^snapshot (\w+)$", re.MULTILINE)
+SNAPSHOT_PATTERN = re.compile(r"^snapshot (\w+)$", re.MULTILINE)
 OPTIONS_FILE = Path("deploy/options.json")
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
-    """Where an experiment is played."""
+class ExperimentPaths:
+    """The paths that an experiment uses."""
 
     bench: Path
-    """The users' bench."""
+    """The users' bench program."""
     sites: dict[str, Path]
-    """Site files by the names that experiments give them."""
+    """Site files by their names in experiments."""
     work: Path
-    """A folder for checkouts, outside temporary folders."""
+    """The folder for checkouts; it must not be inside a temporary folder."""
 
 
 @dataclass(frozen=True, slots=True)
-class Play:
-    """One day of one variant that is to be played."""
+class BenchRun:
+    """One run of the users' bench: one variant on one day."""
 
     variant: Variant
     site: str
@@ -38,21 +38,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Played:
-    """One day of one variant, as the bench judged it."""
+class BenchResult:
+    """The bench's result for one run."""
 
-    play: Play
+    run: BenchRun
     journal_id: str
     worth: float | None
-    """None when the bench gave no figure; see its output."""
+    """None if the bench gave no figure; its output says why."""
     broken_rules: dict[str, int] = field(default_factory=dict)
     output: str = ""
 
 
-def list_plays(experiment: Experiment) -> list[Play]:
-    """Return all plays; those of one day and seed stand together."""
+def list_runs(experiment: Experiment) -> list[BenchRun]:
+    """Return all runs; those of one day and seed are adjacent."""
     return [
-        Play(variant, site, day, seed)
+        BenchRun(variant, site, day, seed)
         for site in experiment.sites
         for day in experiment.days
         for seed in experiment.seeds or (None,)
@@ -60,22 +60,23 @@
     ]
 
 
-def run_experiment(experiment: Experiment, place: Place, jobs: int) -> list[Played]:
-    """Play everything, and take the bench's journal over."""
+def run_experiment(experiment: Experiment, paths: ExperimentPaths, jobs: int) -> list[BenchResult]:
+    """Execute all runs, and copy the bench's journal entries into this repository."""
     checkouts = {
-        variant.name: check_out(variant, place.work / variant.name)
+        variant.name: check_out(variant, paths.work / variant.name)
         for variant in experiment.variants
     }
     with ThreadPoolExecutor(jobs) as pool:
-        plays = list_plays(experiment)
-        played = list(
+        runs = list_runs(experiment)
+        results = list(
             pool.map(
-                lambda play: run_play(play, experiment, place, checkouts[play.variant.name]), plays
+                lambda run: execute_run(run, experiment, paths, checkouts[run.variant.name]),
+                runs,
             )
         )
     for checkout in checkouts.values():
         shutil.copytree(checkout / "journal", ROOT / "journal", dirs_exist_ok=True)
-    return played
+    return results
 
 
 def check_out(variant: Variant, folder: Path) -> Path:
@@ -90,25 +91,27 @@
     return folder
 
 
-def run_play(play: Play, experiment: Experiment, place: Place, checkout: Path) -> Played:
-    """Play one day."""
-    why = f"{experiment.question} Variant {play.variant.name}."
-    command = [str(place.bench), "run", str(place.sites[play.site]), play.day, "--why", why]
-    if play.seed is not None:
-        command += ["--seed", str(play.seed)]
+def execute_run(
+    run: BenchRun, experiment: Experiment, paths: ExperimentPaths, checkout: Path
+) -> BenchResult:
+    """Run the users' bench for one variant on one day."""
+    reason = f"{experiment.question} Variant {run.variant.name}."
+    command = [str(paths.bench), "run", str(paths.sites[run.site]), run.day, "--why", reason]
+    if run.seed is not None:
+        command += ["--seed", str(run.seed)]
     if not experiment.charged:
         command.append("--no-cpu")
-    done = subprocess.run(command, cwd=checkout, capture_output=True, text=True, check=False)
-    found = SNAPSHOT.search(done.stdout)
-    if found is None:
-        return Played(play, "", None, output=done.stdout[-2000:] + done.stderr[-2000:])
-    entry = _read_entry(checkout, found[1])
-    # "G" is the worth; "figure" is cut at the day's upper mark.
+    finished = subprocess.run(command, cwd=checkout, capture_output=True, text=True, check=False)
+    snapshot = SNAPSHOT_PATTERN.search(finished.stdout)
+    if snapshot is None:
+        return BenchResult(run, "", None, output=finished.stdout[-2000:] + finished.stderr[-2000:])
+    entry = _read_journal_entry(checkout, snapshot[1])
+    # "G" is the worth; "figure" is the same, capped at the day's upper mark.
     day = entry["days"][0] if entry.get("days") else {}
-    return Played(play, found[1], day.get("G"), day.get("rules") or {}, done.stdout)
+    return BenchResult(run, snapshot[1], day.get("G"), day.get("rules") or {}, finished.stdout)
 
 
-def _read_entry(checkout: Path, journal_id: str) -> dict:
+def _read_journal_entry(checkout: Path, journal_id: str) -> dict:
     (path,) = (checkout / "journal").glob(f"*-{journal_id}.json")
     entry: dict = json.loads(path.read_text())
     return entry
--- a/bench/experiments_command.py
+++ b/bench/experiments_command.py
@@ -7,14 +7,14 @@
 from result import Err
 
 from bench.experiment_files import load_experiment
-from bench.experiment_runs import Place, run_experiment
-from bench.experiment_tables import plot_table, write_table
+from bench.experiment_runs import ExperimentPaths, run_experiment
+from bench.experiment_tables import plot_differences, write_table
 
 EXIT_BAD_FILE = 2
 
 
 def add_options(parser: argparse.ArgumentParser) -> None:
-    """Name the command's options."""
+    """Add the command's options to its parser."""
     parser.add_argument("file", type=Path, help="JSON with comments; see bench/experiments")
     parser.add_argument("--bench", type=Path, required=True, help="the users' bench program")
     parser.add_argument(
@@ -25,7 +25,7 @@
 
 
 def run_command(arguments: argparse.Namespace) -> None:
-    """Play an experiment, and write its page and plot beside the file."""
+    """Run an experiment, and write its page and plot beside the file."""
     loaded = load_experiment(arguments.file)
     if isinstance(loaded, Err):
         for finding in loaded.err_value:
@@ -37,11 +37,11 @@
     if missing:
         print(f"--site: saw none for {', '.join(missing)}, give NAME=FILE", file=sys.stderr)
         sys.exit(EXIT_BAD_FILE)
-    place = Place(arguments.bench, sites, arguments.work)
-    played = run_experiment(experiment, place, arguments.jobs)
-    write_table(experiment, played, arguments.file.with_suffix(".md"))
-    plot_table(experiment, played, arguments.file.with_suffix(".png"))
-    for item in played:
+    paths = ExperimentPaths(arguments.bench, sites, arguments.work)
+    results = run_experiment(experiment, paths, arguments.jobs)
+    write_table(experiment, results, arguments.file.with_suffix(".md"))
+    plot_differences(experiment, results, arguments.file.with_suffix(".png"))
+    for item in results:
         if item.worth is None:
-            print(f"{item.play}: no figure\n{item.output}", file=sys.stderr)
+            print(f"{item.run}: no figure\n{item.output}", file=sys.stderr)
     print(arguments.file.with_suffix(".md").read_text())
--- a/bench/faults.py
+++ b/bench/faults.py
@@ -1,4 +1,4 @@
-"""Faults that a bench brings about while it measures."""
+"""Faults that a benchmark injects while it measures."""
 
 import signal
 import threading
@@ -11,9 +11,10 @@
 
 
 def make_fault(name: str, fleet: Fleet, at_s: float, for_s: float) -> threading.Thread:
-    """Start a thread that brings a fault about and ends it again.
+    """Start a thread that injects a fault and ends it again.
 
-    :param at_s: seconds from now until the fault.
+    :param at_s: seconds from now until the fault begins.
+    :param for_s: how long the fault lasts, in seconds.
     """
     begin, end = FAULTS[name]
 
@@ -23,15 +24,15 @@
         time.sleep(for_s)
         end(fleet)
 
-    thread = threading.Thread(target=run if name != "none" else _nothing, daemon=True)
+    thread = threading.Thread(target=run if name != "none" else _do_nothing, daemon=True)
     thread.start()
     return thread
 
 
-def owner_of_most(fleet: Fleet) -> str:
-    """Return the router that owns the most backend servers and is not the first.
+def find_largest_owner(fleet: Fleet) -> str:
+    """Return the router that owns the most backend servers, other than the first router.
 
-    The first one takes the small workspace's calls, which the bench measures.
+    The first router receives the small workspace's requests, whose latency is measured.
     """
     names = list(fleet.routers)
     status = fleet.status(names[0])
@@ -39,22 +40,22 @@
     return max(names[1:], key=owners.count)
 
 
-def _nothing(*_: Fleet) -> None:
+def _do_nothing(*_: Fleet) -> None:
     pass
 
 
-def _cut(fleet: Fleet) -> None:
+def _partition_routers(fleet: Fleet) -> None:
     names = list(fleet.routers)
     half = len(names) // 2
     fleet.cut([names[:half], names[half:]])
 
 
-def _heal(fleet: Fleet) -> None:
+def _end_partition(fleet: Fleet) -> None:
     fleet.cut([list(fleet.routers)])
 
 
 def _kill_owner(fleet: Fleet) -> None:
-    fleet.kill(fleet.routers[owner_of_most(fleet)])
+    fleet.kill(fleet.routers[find_largest_owner(fleet)])
 
 
 def _restart_dead(fleet: Fleet) -> None:
@@ -63,27 +64,27 @@
             fleet.restart_router(name)
 
 
-def _freeze(fleet: Fleet) -> None:
-    fleet.routers[owner_of_most(fleet)].process.send_signal(signal.SIGSTOP)
+def _suspend_owner(fleet: Fleet) -> None:
+    fleet.routers[find_largest_owner(fleet)].process.send_signal(signal.SIGSTOP)
 
 
-def _wake(fleet: Fleet) -> None:
+def _resume_routers(fleet: Fleet) -> None:
     for program in fleet.routers.values():
         program.process.send_signal(signal.SIGCONT)
 
 
-def _platform_down(fleet: Fleet) -> None:
+def _stop_platform_answers(fleet: Fleet) -> None:
     fleet.set_platform_mode(down=True)
 
 
-def _platform_up(fleet: Fleet) -> None:
+def _restore_platform_answers(fleet: Fleet) -> None:
     fleet.set_platform_mode()
 
 
 FAULTS: dict[str, tuple[Step, Step]] = {
-    "none": (_nothing, _nothing),
-    "cut": (_cut, _heal),
+    "none": (_do_nothing, _do_nothing),
+    "cut": (_partition_routers, _end_partition),
     "kill-owner": (_kill_owner, _restart_dead),
-    "freeze": (_freeze, _wake),
-    "platform-down": (_platform_down, _platform_up),
+    "freeze": (_suspend_owner, _resume_routers),
+    "platform-down": (_stop_platform_answers, _restore_platform_answers),
 }
--- a/bench/fleet_bench.py
+++ b/bench/fleet_bench.py
@@ -1,8 +1,8 @@
-"""The fleet's measures: fairness gap, utilisation, control traffic, with baselines.
+"""Fleet benchmark: fairness gap, utilisation and control traffic, with baselines.
 
-Separate router processes against small stand-ins on loopback. Every policy of one
-call runs the same load on the same engines, one policy after another, so that
-ratios between them hold on a busy machine.
+Runs separate router processes against small stand-ins on loopback. All policies of one call
+run with the same load and engines, one after another, so that the ratios between them stay
+comparable on a busy machine.
 """
 
 import random
@@ -11,7 +11,7 @@
 from typing import Any
 
 from bench.faults import make_fault
-from bench.processes import LoadRun, cpu_s, percentile
+from bench.processes import LoadRun, compute_percentile, read_cpu_s
 from standins.fleets import Fleet, WorkspacePlan
 from standins.network import get_json
 
@@ -35,8 +35,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FleetOrder:
-    """What to measure."""
+class FleetOptions:
+    """The parameters of a fleet measurement."""
 
     routers: int
     engines: int
@@ -47,12 +47,12 @@
     fault_at_s: float = 0.0
     fault_for_s: float = 10.0
     refresh_interval_s: float = 0.0
-    """0 leaves the router's default."""
+    """0 for the router's default."""
 
 
 @dataclass(slots=True)
-class Sample:
-    """Service at one moment."""
+class ServiceSample:
+    """Cumulative service at one time."""
 
     at_s: float
     served_tokens: dict[str, float]
@@ -61,21 +61,21 @@
 
 @dataclass(slots=True)
 class FleetFigures:
-    """What one policy did."""
+    """The figures of one policy."""
 
     policy: str
     fairness_gap_tokens: float = 0.0
-    """Largest difference of service/share between two workspaces with work waiting."""
+    """Largest difference of service per share between two backlogged workspaces."""
     fairness_gap_s: float = 0.0
-    """The same in seconds of the pool's whole capacity."""
+    """The same gap in seconds of the pool's whole capacity."""
     mean_gap_tokens: float = 0.0
     gap_after_fault_tokens: float = 0.0
     recovered_s: float | None = None
-    """From the fault's end until the gap stays under its bound of before the fault."""
+    """Time from the fault's end until the gap stays within its maximum before the fault."""
     utilisation: float = 0.0
     control_bytes_per_s: float = 0.0
     control_cpu_fraction: float = 0.0
-    """Processor time of the deciding task a router: all decisions, not only messages."""
+    """Processor time per router of the decision task: all decisions, not only messages."""
     machine_cpu_fraction: float = 0.0
     statuses: dict[str, int] = field(default_factory=dict)
     counters: dict[str, int] = field(default_factory=dict)
@@ -86,86 +86,86 @@
     service: dict[str, list[float]] = field(default_factory=dict)
 
 
-def measure_policy(order: FleetOrder, policy: str) -> FleetFigures:
-    """Start a fleet, load it, and measure one policy."""
-    plans = _make_plans(order)
+def measure_policy(options: FleetOptions, policy: str) -> FleetFigures:
+    """Start a fleet, put load on it, and measure one policy."""
+    plans = _make_plans(options)
     fleet = Fleet([*plans, WorkspacePlan(SMALL, 1.0, WIDE_LIMITS)])
     figures = FleetFigures(policy)
     try:
-        _start_fleet(fleet, order, policy)
-        _measure_small_alone(fleet, order, figures)
-        _measure_flood(fleet, order, plans, figures)
+        _start_fleet(fleet, options, policy)
+        _measure_small_alone(fleet, options, figures)
+        _measure_flood(fleet, options, plans, figures)
     finally:
         fleet.stop()
     return figures
 
 
-def _make_plans(order: FleetOrder) -> list[WorkspacePlan]:
+def _make_plans(options: FleetOptions) -> list[WorkspacePlan]:
     return [
         WorkspacePlan(f"workspace-{index}", SHARES[index % len(SHARES)], WIDE_LIMITS)
-        for index in range(order.workspaces)
+        for index in range(options.workspaces)
     ]
 
 
-def _start_fleet(fleet: Fleet, order: FleetOrder, policy: str) -> None:
+def _start_fleet(fleet: Fleet, options: FleetOptions, policy: str) -> None:
     fleet.start_platform()
-    for index in range(order.engines):
+    for index in range(options.engines):
         fleet.start_engine(f"engine-{index + 1}", SLOTS, STEP_MS, TOKENS_PER_EVENT)
     hooks = {"cut": True, "policy": "local" if policy == "local" else "fleet"}
     changes: dict[str, Any] = {"test_hooks": hooks}
-    if order.refresh_interval_s:
-        changes["timing"] = {"refresh_interval_s": order.refresh_interval_s}
-    fleet.start_routers(1 if policy == "single" else order.routers, **changes)
+    if options.refresh_interval_s:
+        changes["timing"] = {"refresh_interval_s": options.refresh_interval_s}
+    fleet.start_routers(1 if policy == "single" else options.routers, **changes)
     fleet.publish()
     fleet.publish_vms()
     fleet.wait_until_ready()
 
 
-def _measure_small_alone(fleet: Fleet, order: FleetOrder, figures: FleetFigures) -> None:
-    report = LoadRun([_small_group(fleet)], ALONE_S, order.seed).wait()
-    figures.small_alone_first_s = _describe(report["first_s"])
+def _measure_small_alone(fleet: Fleet, options: FleetOptions, figures: FleetFigures) -> None:
+    report = LoadRun([_make_small_group(fleet)], ALONE_S, options.seed).wait()
+    figures.small_alone_first_s = _summarize_latencies(report["first_s"])
 
 
 def _measure_flood(
-    fleet: Fleet, order: FleetOrder, plans: list[WorkspacePlan], figures: FleetFigures
+    fleet: Fleet, options: FleetOptions, plans: list[WorkspacePlan], figures: FleetFigures
 ) -> None:
-    seconds = WARM_UP_S + order.seconds
-    groups = _make_groups(fleet, order, plans)
+    seconds = WARM_UP_S + options.seconds
+    groups = _make_groups(fleet, options, plans)
     runs = [
-        LoadRun(groups[index::LOAD_PROCESSES], seconds + 1.0, order.seed + index)
+        LoadRun(groups[index::LOAD_PROCESSES], seconds + 1.0, options.seed + index)
         for index in range(LOAD_PROCESSES)
     ]
-    small = LoadRun([_small_group(fleet)], seconds, order.seed)
-    fault = make_fault(order.fault, fleet, order.fault_at_s + WARM_UP_S, order.fault_for_s)
+    small = LoadRun([_make_small_group(fleet)], seconds, options.seed)
+    fault = make_fault(options.fault, fleet, options.fault_at_s + WARM_UP_S, options.fault_for_s)
     time.sleep(WARM_UP_S)
-    before = _read_use(fleet)
-    samples = _sample(fleet, order.seconds)
-    after = _read_use(fleet)
+    before = _read_usage(fleet)
+    samples = _collect_samples(fleet, options.seconds)
+    after = _read_usage(fleet)
     fault.join()
     reports = [run.wait() for run in runs]
-    figures.small_flood_first_s = _describe(small.wait()["first_s"])
+    figures.small_flood_first_s = _summarize_latencies(small.wait()["first_s"])
     elapsed = [value for report in reports for value in report["elapsed_s"]]
     figures.mean_request_s = sum(MEAN_TOKENS) / len(MEAN_TOKENS) / TOKENS_PER_S
     for report in reports:
         for status, count in report["statuses"].items():
             figures.statuses[status] = figures.statuses.get(status, 0) + count
     figures.statuses["answers_per_s"] = round(len(elapsed) / seconds)
-    _fill_service(order, plans, samples, figures)
-    _fill_use(before, after, figures)
+    _fill_service(options, plans, samples, figures)
+    _fill_usage(before, after, figures)
 
 
 def _make_groups(
-    fleet: Fleet, order: FleetOrder, plans: list[WorkspacePlan]
+    fleet: Fleet, options: FleetOptions, plans: list[WorkspacePlan]
 ) -> list[dict[str, Any]]:
-    """Place the workspaces unevenly: some at one router, some at a few, some at all."""
-    draw = random.Random(order.seed)
+    """Make load groups that spread workspaces unevenly: over one router, several, or all."""
+    draw = random.Random(options.seed)
     addresses = [program.address for program in fleet.routers.values()]
     groups = []
     for index, plan in enumerate(plans):
         callers = FLOOD_CALLERS if index < FLOOD_WORKSPACES else STEADY_CALLERS
-        wanted = max(1, round(order.routers * (0.125, 0.25, 0.5, 1.0)[index % 4]))
-        places = draw.sample(range(order.routers), wanted)
-        for place, count in _spread(callers, places).items():
+        place_count = max(1, round(options.routers * (0.125, 0.25, 0.5, 1.0)[index % 4]))
+        places = draw.sample(range(options.routers), place_count)
+        for place, count in _distribute_callers(callers, places).items():
             groups.append(
                 {
                     "address": addresses[place % len(addresses)],
@@ -177,14 +177,14 @@
     return groups
 
 
-def _spread(callers: int, places: list[int]) -> dict[int, int]:
+def _distribute_callers(callers: int, places: list[int]) -> dict[int, int]:
     counts = dict.fromkeys(places, 0)
     for index in range(callers):
         counts[places[index % len(places)]] += 1
     return {place: count for place, count in counts.items() if count}
 
 
-def _small_group(fleet: Fleet) -> dict[str, Any]:
+def _make_small_group(fleet: Fleet) -> dict[str, Any]:
     address = next(iter(fleet.routers.values())).address
     return {
         "address": address,
@@ -197,20 +197,20 @@
     }
 
 
-def _sample(fleet: Fleet, seconds: float) -> list[Sample]:
+def _collect_samples(fleet: Fleet, seconds: float) -> list[ServiceSample]:
     samples = []
     started_s = time.monotonic()
     next_s = started_s
     while time.monotonic() - started_s < seconds:
-        samples.append(_read_service(fleet))
+        samples.append(_take_sample(fleet))
         next_s += SAMPLE_S
         time.sleep(max(next_s - time.monotonic(), 0.0))
-    samples.append(_read_service(fleet))
+    samples.append(_take_sample(fleet))
     return samples
 
 
-def _read_service(fleet: Fleet) -> Sample:
-    sample = Sample(time.monotonic(), {}, 0.0)
+def _take_sample(fleet: Fleet) -> ServiceSample:
+    sample = ServiceSample(time.monotonic(), {}, 0.0)
     for program in fleet.engines.values():
         content = get_json(program.address, "/test/service")
         sample.busy_slot_s += content["busy_slot_s"]
@@ -220,7 +220,10 @@
 
 
 def _fill_service(
-    order: FleetOrder, plans: list[WorkspacePlan], samples: list[Sample], figures: FleetFigures
+    options: FleetOptions,
+    plans: list[WorkspacePlan],
+    samples: list[ServiceSample],
+    figures: FleetFigures,
 ) -> None:
     first, last = samples[0], samples[-1]
     shares = {plan.name: plan.share for plan in plans}
@@ -233,7 +236,7 @@
         figures.gaps.append((round(sample.at_s - first.at_s, 2), round(gap, 1)))
         for name, value in served.items():
             figures.service.setdefault(name, []).append(round(value, 1))
-    capacity = order.engines * SLOTS
+    capacity = options.engines * SLOTS
     gaps = [gap for _, gap in figures.gaps]
     figures.fairness_gap_tokens = max(gaps)
     figures.fairness_gap_s = max(gaps) / (capacity * TOKENS_PER_S)
@@ -241,25 +244,25 @@
     figures.utilisation = (last.busy_slot_s - first.busy_slot_s) / (
         (last.at_s - first.at_s) * capacity
     )
-    _fill_recovery(order, figures)
+    _fill_recovery(options, figures)
 
 
-def _fill_recovery(order: FleetOrder, figures: FleetFigures) -> None:
-    if order.fault == "none":
+def _fill_recovery(options: FleetOptions, figures: FleetFigures) -> None:
+    if options.fault == "none":
         return
-    healed_s = order.fault_at_s + order.fault_for_s
-    bound = max(gap for at_s, gap in figures.gaps if at_s < order.fault_at_s)
+    healed_s = options.fault_at_s + options.fault_for_s
+    bound = max(gap for at_s, gap in figures.gaps if at_s < options.fault_at_s)
     figures.gap_after_fault_tokens = max(
-        (gap for at_s, gap in figures.gaps if at_s >= order.fault_at_s), default=0.0
+        (gap for at_s, gap in figures.gaps if at_s >= options.fault_at_s), default=0.0
     )
     after = [(at_s, gap) for at_s, gap in figures.gaps if at_s >= healed_s]
     figures.recovered_s = find_recovery_s(after, healed_s, bound)
 
 
 def find_recovery_s(gaps: list[tuple[float, float]], healed_s: float, bound: float) -> float | None:
-    """Return how long after the fault's end the gap was last over its bound.
+    """Return how long after the fault's end the gap was last above its bound.
 
-    :returns: seconds, or None when the last gap measured is still over the bound.
+    :returns: seconds, or None if the last measured gap is still above the bound.
     """
     if not gaps or gaps[-1][1] > bound:
         return None
@@ -268,8 +271,8 @@
 
 
 @dataclass(slots=True)
-class Use:
-    """What was used so far."""
+class ResourceUsage:
+    """Cumulative processor time and counters at one time."""
 
     at_s: float
     machine_cpu_s: float
@@ -277,19 +280,21 @@
     counters: dict[str, dict[str, int]]
 
 
-def _read_use(fleet: Fleet) -> Use:
+def _read_usage(fleet: Fleet) -> ResourceUsage:
     programs = [*fleet.routers.values(), *fleet.engines.values()]
     alive = [item for item in programs if item.process.poll() is None]
-    use = Use(time.monotonic(), sum(cpu_s(item.process.pid) for item in alive), {}, {})
+    usage = ResourceUsage(
+        time.monotonic(), sum(read_cpu_s(item.process.pid) for item in alive), {}, {}
+    )
     for name, program in fleet.routers.items():
         if program.process.poll() is None:
             metrics = get_json(program.operators_address, "/metrics")
-            use.core_cpu_s[name] = metrics["core_cpu_s"]
-            use.counters[name] = metrics["counters"]
-    return use
+            usage.core_cpu_s[name] = metrics["core_cpu_s"]
+            usage.counters[name] = metrics["counters"]
+    return usage
 
 
-def _fill_use(before: Use, after: Use, figures: FleetFigures) -> None:
+def _fill_usage(before: ResourceUsage, after: ResourceUsage, figures: FleetFigures) -> None:
     elapsed_s = after.at_s - before.at_s
     names = before.core_cpu_s.keys() & after.core_cpu_s.keys()
     used_s = sum(after.core_cpu_s[name] - before.core_cpu_s[name] for name in names)
@@ -297,17 +302,17 @@
     figures.machine_cpu_fraction = (after.machine_cpu_s - before.machine_cpu_s) / elapsed_s / CORES
     for name in names:
         for counter, value in after.counters[name].items():
-            grown = value - before.counters[name].get(counter, 0)
-            if grown:
-                figures.counters[counter] = figures.counters.get(counter, 0) + grown
+            increase = value - before.counters[name].get(counter, 0)
+            if increase:
+                figures.counters[counter] = figures.counters.get(counter, 0) + increase
     sent = figures.counters.get("control.sent_bytes", 0)
     figures.control_bytes_per_s = sent / elapsed_s / max(len(names), 1)
 
 
-def _describe(values: list[float]) -> dict[str, float]:
+def _summarize_latencies(values: list[float]) -> dict[str, float]:
     return {
-        "p50": percentile(values, 0.5),
-        "p95": percentile(values, 0.95),
-        "p99": percentile(values, 0.99),
+        "p50": compute_percentile(values, 0.5),
+        "p95": compute_percentile(values, 0.95),
+        "p99": compute_percentile(values, 0.99),
         "count": len(values),
     }
--- a/bench/load.py
+++ b/bench/load.py
@@ -1,6 +1,7 @@
-"""A load generator: keeps callers asking, as a process of its own.
+"""A closed-loop load generator: each client sends its next request after the last answer.
 
-Reads one JSON order on standard input and prints one JSON report when it is done.
+Runs as a separate process: reads one JSON order from standard input and prints one JSON
+report when it is done.
 """
 
 import eventlet
@@ -21,7 +22,7 @@
 
 
 class Callers:
-    """All callers of one order, and what they saw."""
+    """All clients of one order, and what they measured."""
 
     def __init__(self, order: dict[str, Any]) -> None:
         self.order = order
@@ -35,9 +36,9 @@
         self.events = 0
 
     def run(self) -> dict[str, Any]:
-        """Run every caller until the end and report."""
+        """Run all clients until the end and return the report."""
         tasks = [
-            eventlet.spawn(self._ask_forever, group)
+            eventlet.spawn(self._run_caller, group)
             for group in self.order["groups"]
             for _ in range(group["callers"])
         ]
@@ -51,17 +52,17 @@
             "events": self.events,
         }
 
-    def _ask_forever(self, group: dict[str, Any]) -> None:
+    def _run_caller(self, group: dict[str, Any]) -> None:
         eventlet.sleep(self.draw.random() * group.get("spread_s", 0.2))
         while time.monotonic() < self.end_s:
             tokens = max(1, int(group["tokens"] * self.draw.lognormvariate(-0.35, 0.83)))
             if group.get("fixed"):
                 tokens = group["tokens"]
-            self._ask(group, tokens)
+            self._send_request(group, tokens)
             if group.get("pause_s"):
                 eventlet.sleep(group["pause_s"] * (0.5 + self.draw.random()))
 
-    def _ask(self, group: dict[str, Any], tokens: int) -> None:
+    def _send_request(self, group: dict[str, Any], tokens: int) -> None:
         body, path = _make_request(group, tokens, self.draw)
         headers = {"Authorization": f"Bearer {group['key']}"}
         started_s = time.monotonic()
--- a/bench/notice_slopes.py
+++ b/bench/notice_slopes.py
@@ -1,4 +1,4 @@
-"""What it costs to hear and to keep what servers say of themselves, at full table sizes."""
+"""Costs of server notices, leaving and back-off, at full table sizes."""
 
 import time
 from collections.abc import Callable
@@ -26,7 +26,7 @@
 SERVERS = 10_000
 POOLS = 15
 LEAVING = 100
-"""Servers that leave at a time: a release of one in a hundred."""
+"""Servers that leave at the same time: a rolling release of one in a hundred."""
 
 BACKED_OFF = 20
 REPEATS = 200
@@ -40,8 +40,8 @@
 )
 
 
-def measure_notices() -> list[Slope]:
-    """Measure every slope of what servers say of themselves."""
+def measure_notice_slopes() -> list[Slope]:
+    """Measure the cost of each event about server notices."""
     names = HeaderNames()
     servers = [_make_server(number) for number in range(SERVERS)]
     configuration = Configuration(
@@ -54,18 +54,24 @@
     for server in servers[: BACKED_OFF * POOLS : POOLS]:
         record_backoff(backoffs, server.name, server.pool, 3.0)
     barred = tuple(backoffs)
-    none: Backoffs = {}
+    no_backoffs: Backoffs = {}
     return [
-        _time("an answer's head read", lambda: _keep(read_notice(200, HEAD, names))),
-        _time("100 of 10,000 marked", lambda: _keep(mark_leaving(configuration, leaving))),
-        _time("the sweep over 100 that leave", lambda: _sweep(leaving, configuration)),
-        _time("a request, no backoff", lambda: _wait(none, configuration)),
-        _time("a request, 20 backoffs", lambda: _wait(backoffs, configuration)),
+        _measure_time("an answer's head read", lambda: _discard(read_notice(200, HEAD, names))),
+        _measure_time(
+            "100 of 10,000 marked", lambda: _discard(mark_leaving(configuration, leaving))
+        ),
+        _measure_time(
+            "the sweep over 100 that leave", lambda: _sweep_leaving(leaving, configuration)
+        ),
+        _measure_time("a request, no backoff", lambda: _find_backoff(no_backoffs, configuration)),
+        _measure_time("a request, 20 backoffs", lambda: _find_backoff(backoffs, configuration)),
         Slope(
-            "a notice to an owner", _size(LeavingNotice(make_leaving_row(leaving, NAME))), "bytes"
+            "a notice to an owner",
+            _measure_bytes(LeavingNotice(make_leaving_row(leaving, NAME))),
+            "bytes",
         ),
-        Slope("a leaving server on a probe", _probe(leaving, 10) / 10, "bytes"),
-        Slope("a server named in a bid", _bid(barred) / BACKED_OFF, "bytes"),
+        Slope("a leaving server on a probe", _measure_probe_rows_bytes(leaving, 10) / 10, "bytes"),
+        Slope("a server named in a bid", _measure_barred_bytes(barred) / BACKED_OFF, "bytes"),
     ]
 
 
@@ -74,33 +80,35 @@
     return BackendServer(name, f"pool-{number % POOLS}", "10.0.1.9:80", "z", 64, False, False)
 
 
-def _keep(value: object) -> None:
-    """Take a value that is of no use."""
+def _discard(value: object) -> None:
+    """Discard a value."""
 
 
-def _sweep(leaving: LeavingServers, configuration: Configuration) -> None:
+def _sweep_leaving(leaving: LeavingServers, configuration: Configuration) -> None:
     forget_removed_servers(leaving, configuration.backend_servers, 1.0)
 
 
-def _wait(backoffs: Backoffs, configuration: Configuration) -> None:
+def _find_backoff(backoffs: Backoffs, configuration: Configuration) -> None:
     find_pool_backoff_s(backoffs, configuration, "pool-0", 1.0)
 
 
-def _probe(leaving: LeavingServers, count: int) -> int:
+def _measure_probe_rows_bytes(leaving: LeavingServers, count: int) -> int:
     rows = tuple(make_leaving_row(leaving, NAME) for _ in range(count))
-    full, empty = (Probe(1, News((), told, 5, "0" * 16)) for told in (rows, ()))
-    return _size(full) - _size(empty)
+    with_rows, without_rows = (
+        Probe(1, News((), leaving_rows, 5, "0" * 16)) for leaving_rows in (rows, ())
+    )
+    return _measure_bytes(with_rows) - _measure_bytes(without_rows)
 
 
-def _bid(barred: tuple[str, ...]) -> int:
-    return _size(Bid("pool-0", 1e5, (), barred)) - _size(Bid("pool-0", 1e5, ()))
+def _measure_barred_bytes(barred: tuple[str, ...]) -> int:
+    return _measure_bytes(Bid("pool-0", 1e5, (), barred)) - _measure_bytes(Bid("pool-0", 1e5, ()))
 
 
-def _size(message: Message) -> int:
+def _measure_bytes(message: Message) -> int:
     return len(encode_envelope(Envelope("vm-1234", 2**40, (message,))))
 
 
-def _time(name: str, step: Callable[[], None]) -> Slope:
+def _measure_time(name: str, step: Callable[[], None]) -> Slope:
     started_s = time.process_time()
     for _ in range(REPEATS):
         step()
--- a/bench/platform_load.py
+++ b/bench/platform_load.py
@@ -1,4 +1,4 @@
-"""Load on the routed interface: routers beside the emulator asked directly, in one run."""
+"""Load on the routed interface, through routers and directly on the emulator, in one run."""
 
 import json
 import subprocess
@@ -14,8 +14,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LoadOrder:
-    """How much load, and on what."""
+class LoadOptions:
+    """The parameters of a load measurement."""
 
     routers: int
     engines: int
@@ -23,60 +23,60 @@
     seconds: float
     seed: int
     flood_part: float
-    """The part of all requests that one of the two workspaces sends."""
+    """The fraction of all requests that one of the two workspaces sends."""
 
 
-def measure_load(order: LoadOrder) -> dict[str, Any]:
-    """Return what clients saw, through the routers and directly."""
+def measure_load(options: LoadOptions) -> dict[str, Any]:
+    """Return the clients' reports, through the routers and directly."""
     fleet = NodeFleet()
     try:
-        fleet.start(order.routers, order.engines)
-        through = [f"{node.ip}:{node.front_port}" for node in fleet.nodes]
-        engines = _addresses(fleet, "i-engine")
-        services = _addresses(fleet, "i-desk")
+        fleet.start(options.routers, options.engines)
+        routers = [f"{node.ip}:{node.front_port}" for node in fleet.nodes]
+        engines = _list_addresses(fleet, "i-engine")
+        services = _list_addresses(fleet, "i-desk")
         return {
-            "direct": _run_clients(order, _targets(engines, services)),
-            "routers": _run_clients(order, _targets(through, through)),
+            "direct": _run_clients(options, _make_targets(engines, services)),
+            "routers": _run_clients(options, _make_targets(routers, routers)),
         }
     finally:
         fleet.stop()
 
 
 def plot_load(figures: dict[str, Any], path: Path) -> None:
-    """Draw the time to the first byte by percentile, for each way and route."""
+    """Plot the time to the first byte by percentile, for each path to the servers and route."""
     import matplotlib
 
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
-    drawing, axes = pyplot.subplots(figsize=(9, 6))
-    for way, routes in figures.items():
-        for route, seen in routes.items():
-            style = "-" if way == "routers" else "--"
-            axes.plot(range(1, 100), seen["curve_ms"], style, label=f"{way} {route}")
+    figure, axes = pyplot.subplots(figsize=(9, 6))
+    for path_name, routes in figures.items():
+        for route, report in routes.items():
+            style = "-" if path_name == "routers" else "--"
+            axes.plot(range(1, 100), report["curve_ms"], style, label=f"{path_name} {route}")
     axes.set_xlabel("percentile")
     axes.set_ylabel("first byte, ms")
     axes.set_yscale("log")
     axes.legend()
-    drawing.tight_layout()
-    drawing.savefig(path, dpi=100)
+    figure.tight_layout()
+    figure.savefig(path, dpi=100)
 
 
-def _addresses(fleet: NodeFleet, prefix: str) -> list[str]:
+def _list_addresses(fleet: NodeFleet, prefix: str) -> list[str]:
     return [address for name, address in fleet.addresses.items() if name.startswith(prefix)]
 
 
-def _targets(model: list[str], plain: list[str]) -> dict[str, list[str]]:
+def _make_targets(model: list[str], plain: list[str]) -> dict[str, list[str]]:
     return {**dict.fromkeys(MODEL_PATHS, model), PLAIN_PATH: plain}
 
 
-def _run_clients(order: LoadOrder, targets: dict[str, list[str]]) -> dict[str, Any]:
+def _run_clients(options: LoadOptions, targets: dict[str, list[str]]) -> dict[str, Any]:
     content = {
         "targets": targets,
-        "rate_per_s": order.rate_per_s,
-        "seconds": order.seconds,
-        "seed": order.seed,
-        "flood_part": order.flood_part,
+        "rate_per_s": options.rate_per_s,
+        "seconds": options.seconds,
+        "seed": options.seed,
+        "flood_part": options.flood_part,
     }
     finished = subprocess.run(
         [sys.executable, "-W", "ignore", "-m", "emulator.clients"],
@@ -86,5 +86,5 @@
         check=True,
         cwd=ROOT,
     )
-    seen: dict[str, Any] = json.loads(finished.stdout)
-    return seen
+    report: dict[str, Any] = json.loads(finished.stdout)
+    return report
--- a/bench/plots.py
+++ b/bench/plots.py
@@ -6,16 +6,18 @@
 
 
 def plot_figures(figures: list[FleetFigures], path: Path) -> None:
-    """Draw the gap over time for each policy, and service a workspace for the first."""
+    """Plot the gap over time for each policy, and service per workspace for the first policy."""
     import matplotlib
 
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
-    drawing, (upper, lower) = pyplot.subplots(2, 1, figsize=(9, 8))
-    for item in figures:
+    plot_figure, (upper, lower) = pyplot.subplots(2, 1, figsize=(9, 8))
+    for policy_figures in figures:
         upper.plot(
-            [at_s for at_s, _ in item.gaps], [gap for _, gap in item.gaps], label=item.policy
+            [at_s for at_s, _ in policy_figures.gaps],
+            [gap for _, gap in policy_figures.gaps],
+            label=policy_figures.policy,
         )
     upper.set_xlabel("s")
     upper.set_ylabel("gap, tokens a share")
@@ -28,5 +30,5 @@
     lower.set_xlabel("s")
     lower.set_ylabel(f"service a share, tokens ({first.policy})")
     lower.legend(fontsize=7)
-    drawing.tight_layout()
-    drawing.savefig(path, dpi=100)
+    plot_figure.tight_layout()
+    plot_figure.savefig(path, dpi=100)
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -1,4 +1,4 @@
-"""Running load generators, and what processes use, as the kernel accounts it."""
+"""Load generator processes, and the resource usage of processes as the kernel reports it."""
 
 import json
 import os
@@ -14,7 +14,7 @@
 
 
 class LoadRun:
-    """A load generator process that runs."""
+    """A running load generator process."""
 
     def __init__(self, groups: Sequence[dict[str, Any]], seconds: float, seed: int) -> None:
         environment = os.environ | {"PYTHONPATH": str(ROOT)}
@@ -27,27 +27,27 @@
         )
         order = {"groups": list(groups), "seconds": seconds, "seed": seed}
         self._report: dict[str, Any] = {}
-        # Its own thread reads, so that a long report never blocks the generator.
-        self._thread = threading.Thread(target=self._talk, args=(json.dumps(order).encode(),))
+        # A separate thread reads, so that a long report does not block the generator.
+        self._thread = threading.Thread(target=self._exchange, args=(json.dumps(order).encode(),))
         self._thread.start()
 
     def wait(self) -> dict[str, Any]:
-        """Wait until it has ended and return its report."""
+        """Wait until the process has ended and return its report."""
         self._thread.join()
         return self._report
 
-    def _talk(self, order: bytes) -> None:
+    def _exchange(self, order: bytes) -> None:
         output, _ = self.process.communicate(order)
         self._report = json.loads(output or b"{}")
 
 
-def cpu_s(pid: int) -> float:
+def read_cpu_s(pid: int) -> float:
     """Return the processor time that a process has used, in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
 
-def resident_mb(pid: int) -> float:
+def read_resident_mb(pid: int) -> float:
     """Return a process's resident memory, in MB."""
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmRSS:"):
@@ -55,9 +55,12 @@
     return 0.0
 
 
-def percentile(values: Sequence[float], part: float) -> float:
-    """Return a percentile of values, 0 if there are none."""
+def compute_percentile(values: Sequence[float], fraction: float) -> float:
+    """Return a percentile of values, or 0 if there are none.
+
+    :param fraction: the percentile as a fraction, such as 0.99.
+    """
     ordered = sorted(values)
     if not ordered:
         return 0.0
-    return ordered[min(int(part * len(ordered)), len(ordered) - 1)]
+    return ordered[min(int(fraction * len(ordered)), len(ordered) - 1)]
--- a/bench/router_bench.py
+++ b/bench/router_bench.py
@@ -1,10 +1,10 @@
-"""What one router process costs: latency, streamed events, memory."""
+"""Benchmark of one router process: latency, streamed events and memory."""
 
 import time
 from dataclasses import asdict, dataclass
 from typing import Any
 
-from bench.processes import LoadRun, cpu_s, percentile, resident_mb
+from bench.processes import LoadRun, compute_percentile, read_cpu_s, read_resident_mb
 from standins.fleets import Fleet, Program, WorkspacePlan
 from standins.network import wait_for
 
@@ -16,12 +16,12 @@
 WAITING_REQUESTS = 2000
 WORKSPACE = "planners"
 WIDE_LIMITS = {"queued_requests": 100_000, "requests_per_s": 1e6, "burst_requests": 1_000_000}
-"""Limits that no measurement meets."""
+"""Limits that no measurement reaches."""
 
 
 @dataclass(frozen=True, slots=True)
 class LatencyFigures:
-    """Whole requests of one token, asked one after another, both ways in one run."""
+    """Latency of one-token requests in sequence, direct and routed in the same run."""
 
     direct_p50_ms: float
     direct_p99_ms: float
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamFigures:
-    """Streams through one router: gaps between events beside those of the engine itself."""
+    """Gaps between events of streams, direct from the engines and through one router."""
 
     streams: int
     events_per_s: float
@@ -58,12 +58,12 @@
     return {
         "latency": asdict(latency),
         "streams": [asdict(item) for item in streams],
-        "events_per_s_before_p99_doubles": _carried(streams),
+        "events_per_s_before_p99_doubles": _find_sustained_events_per_s(streams),
         "memory": asdict(memory),
     }
 
 
-def _start(engines: int, slots: int, step_ms: float) -> tuple[Fleet, Program]:
+def _start_fleet(engines: int, slots: int, step_ms: float) -> tuple[Fleet, Program]:
     fleet = Fleet([WorkspacePlan(WORKSPACE, 1.0, WIDE_LIMITS)])
     try:
         fleet.start(routers=1, engines=engines, services=0, slots=slots, step_ms=step_ms)
@@ -73,25 +73,29 @@
     return fleet, next(iter(fleet.routers.values()))
 
 
-def _group(fleet: Fleet, address: str, direct: bool, **more: Any) -> dict[str, Any]:
+def _make_group(fleet: Fleet, address: str, direct: bool, **more: Any) -> dict[str, Any]:
     key = fleet.workspaces[WORKSPACE].key
     return {"address": address, "key": key, "direct": direct, "fixed": True, **more}
 
 
 def _measure_latency() -> LatencyFigures:
-    fleet, router = _start(1, 8, 0.5)
+    fleet, router = _start_fleet(1, 8, 0.5)
     try:
         engine = next(iter(fleet.engines.values()))
-        routed = LoadRun([_group(fleet, router.address, False, callers=1, tokens=1)], LATENCY_S, 1)
-        direct = LoadRun([_group(fleet, engine.address, True, callers=1, tokens=1)], LATENCY_S, 2)
+        routed = LoadRun(
+            [_make_group(fleet, router.address, False, callers=1, tokens=1)], LATENCY_S, 1
+        )
+        direct = LoadRun(
+            [_make_group(fleet, engine.address, True, callers=1, tokens=1)], LATENCY_S, 2
+        )
         routed_s = routed.wait()["elapsed_s"]
         direct_s = direct.wait()["elapsed_s"]
     finally:
         fleet.stop()
-    direct_p50_ms = percentile(direct_s, 0.5) * 1000
-    direct_p99_ms = percentile(direct_s, 0.99) * 1000
-    routed_p50_ms = percentile(routed_s, 0.5) * 1000
-    routed_p99_ms = percentile(routed_s, 0.99) * 1000
+    direct_p50_ms = compute_percentile(direct_s, 0.5) * 1000
+    direct_p99_ms = compute_percentile(direct_s, 0.99) * 1000
+    routed_p50_ms = compute_percentile(routed_s, 0.5) * 1000
+    routed_p99_ms = compute_percentile(routed_s, 0.99) * 1000
     return LatencyFigures(
         direct_p50_ms=direct_p50_ms,
         direct_p99_ms=direct_p99_ms,
@@ -104,12 +108,12 @@
 
 def _measure_streams() -> list[StreamFigures]:
     figures = []
-    fleet, router = _start(4, 256, STREAM_STEP_MS)
+    fleet, router = _start_fleet(4, 256, STREAM_STEP_MS)
     try:
         engines = [program.address for program in fleet.engines.values()]
         for streams in STREAM_COUNTS:
             figures.append(_measure_stream_count(fleet, router, engines, streams))
-            if _doubled(figures):
+            if _has_gap_doubled(figures):
                 break
     finally:
         fleet.stop()
@@ -121,15 +125,15 @@
 ) -> StreamFigures:
     tokens = int(STREAM_S * 1000 / STREAM_STEP_MS)
     direct = _run_streams(fleet, engines, True, streams, tokens)
-    started_s, used_s = time.monotonic(), cpu_s(router.process.pid)
+    started_s, used_s = time.monotonic(), read_cpu_s(router.process.pid)
     routed = _run_streams(fleet, [router.address], False, streams, tokens)
     elapsed_s = time.monotonic() - started_s
-    used_s = cpu_s(router.process.pid) - used_s
+    used_s = read_cpu_s(router.process.pid) - used_s
     return StreamFigures(
         streams=streams,
         events_per_s=streams * 1000 / STREAM_STEP_MS,
-        direct_gap_p99_ms=percentile(direct, 0.99) * 1000,
-        routed_gap_p99_ms=percentile(routed, 0.99) * 1000,
+        direct_gap_p99_ms=compute_percentile(direct, 0.99) * 1000,
+        routed_gap_p99_ms=compute_percentile(routed, 0.99) * 1000,
         router_cpu_fraction=used_s / elapsed_s,
     )
 
@@ -139,28 +143,32 @@
 ) -> list[float]:
     runs = []
     for index in range(LOAD_PROCESSES):
-        share = streams // LOAD_PROCESSES + (1 if index < streams % LOAD_PROCESSES else 0)
+        caller_count = streams // LOAD_PROCESSES + (1 if index < streams % LOAD_PROCESSES else 0)
         address = addresses[index % len(addresses)]
-        group = _group(fleet, address, direct, callers=share, tokens=tokens, stream=True)
-        # One request a caller: the end comes before a second would start.
+        group = _make_group(
+            fleet, address, direct, callers=caller_count, tokens=tokens, stream=True
+        )
+        # Each client sends one request: the run ends before a second one would start.
         runs.append(LoadRun([group], STREAM_S * 0.5, index))
     return [gap for run in runs for gap in run.wait()["gaps_s"]]
 
 
-def _doubled(figures: list[StreamFigures]) -> bool:
+def _has_gap_doubled(figures: list[StreamFigures]) -> bool:
     return figures[-1].routed_gap_p99_ms > 2 * figures[0].routed_gap_p99_ms
 
 
-def _carried(figures: list[StreamFigures]) -> float:
-    held = [item for item in figures if item.routed_gap_p99_ms <= 2 * figures[0].routed_gap_p99_ms]
-    return max(item.events_per_s for item in held)
+def _find_sustained_events_per_s(figures: list[StreamFigures]) -> float:
+    sustained = [
+        item for item in figures if item.routed_gap_p99_ms <= 2 * figures[0].routed_gap_p99_ms
+    ]
+    return max(item.events_per_s for item in sustained)
 
 
 def _measure_memory() -> MemoryFigures:
-    fleet, router = _start(1, 1, 50.0)
+    fleet, router = _start_fleet(1, 1, 50.0)
     try:
-        rest_mb = resident_mb(router.process.pid)
-        group = _group(fleet, router.address, False, callers=WAITING_REQUESTS, tokens=100)
+        rest_mb = read_resident_mb(router.process.pid)
+        group = _make_group(fleet, router.address, False, callers=WAITING_REQUESTS, tokens=100)
         load = LoadRun([group], 1.0, 1)
         wait_for(
             lambda: fleet.status(router.name)["queued_requests"] > WAITING_REQUESTS * 0.45,
@@ -169,7 +177,7 @@
         )
         time.sleep(1.0)
         queued = fleet.status(router.name)["queued_requests"]
-        full_mb = resident_mb(router.process.pid)
+        full_mb = read_resident_mb(router.process.pid)
         load.process.kill()
         load.wait()
     finally:
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,8 +1,8 @@
-"""Slopes of the core alone, driven at full table sizes: processor time and memory.
+"""Costs per event of the core alone at full table sizes: processor time and memory.
 
-Each figure is what one event of a role costs while its tables are as large as at
-1,200 routers, 10,000 backend servers and 17,000 workspaces; docs/CAPACITY.md
-multiplies them by the rates at that size.
+Each figure is the cost of one event of a role while the tables are as large as with
+1,200 routers, 10,000 backend servers and 17,000 workspaces. docs/CAPACITY.md multiplies
+these figures by the event rates at that size.
 """
 
 import gc
@@ -38,7 +38,7 @@
 ROUTERS = 1200
 SERVERS = 10_000
 WORKSPACES = 17_000
-BACKLOGGED = 1700
+BACKLOGGED_WORKSPACES = 1700
 SLOTS = 128
 BIDDERS = 16
 REPEATS = 200
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Slope:
-    """What one thing costs."""
+    """The measured cost of one event or object."""
 
     name: str
     value: float
@@ -54,13 +54,13 @@
 
 
 def measure_slopes() -> list[Slope]:
-    """Measure every slope."""
-    slopes = [*_measure_tables(), *_measure_ledger(), *_measure_owner(), *_measure_entry()]
+    """Measure all costs of the core."""
+    slopes = [*_measure_tables(), *_measure_ledger(), *_measure_owner(), *_measure_ingress()]
     return [*slopes, *_measure_messages()]
 
 
 def make_full_core(workspaces: int = WORKSPACES, routers: int = ROUTERS) -> RouterCore:
-    """Make a core that knows a whole fleet."""
+    """Make a core whose tables hold a whole fleet."""
     core = RouterCore(RouterIdentity("r0", "10.0.0.1:1", 1), CoreOptions(), random.Random(1).random)
     loads = [Load(f"workspace-{index}", 1.0, 100.0, (0,)) for index in range(workspaces)]
     core.exchange.current = make_configuration(loads, SERVERS, SLOTS)
@@ -83,7 +83,7 @@
     first_s = time.process_time() - started_s
     member = core.table.members["r7"]
 
-    def lose_or_gain() -> None:
+    def toggle_member() -> None:
         lost = member.state is MemberState.ALIVE
         member.state = MemberState.DEAD if lost else MemberState.ALIVE
         core.table.version += 1
@@ -95,7 +95,7 @@
     return [
         Slope("tables of a whole fleet", tables_bytes / 1e6, "MB"),
         Slope("ownership worked out once", first_s * 1000, "ms"),
-        Slope("one router lost or gained", _time_ms(lose_or_gain, 20), "ms"),
+        Slope("one router lost or gained", _time_ms(toggle_member, 20), "ms"),
         Slope("one tick", _time_ms(tick, REPEATS), "ms"),
     ]
 
@@ -117,10 +117,10 @@
     def report_again() -> None:
         nonlocal sequence
         sequence += 1
-        again = tuple(
+        updated_rows = tuple(
             ReportRow(row.workspace, POOL, 5, sequence, 1000 + sequence, 2, -1) for row in rows
         )
-        report = Report(True, (), again)
+        report = Report(True, (), updated_rows)
         merge_report(ledger, "r7", report, sequence * 0.2, options, _reach_all)
 
     return [
@@ -154,14 +154,14 @@
     return slopes
 
 
-def _measure_entry() -> list[Slope]:
+def _measure_ingress() -> list[Slope]:
     core = make_full_core(1)
-    # Alone, with the few servers that a router owns at that size.
+    # One router alone, with as many servers as a router owns in a full fleet.
     core.table.members.clear()
     core.table.version += 1
     configuration = core.exchange.current
-    few = dict(list(configuration.backend_servers.items())[: SERVERS // ROUTERS])
-    core.exchange.current = replace(configuration, backend_servers=few)
+    owned_servers = dict(list(configuration.backend_servers.items())[: SERVERS // ROUTERS])
+    core.exchange.current = replace(configuration, backend_servers=owned_servers)
     core.handle(events.Tick(), 0.0)
     core.handle(events.Tick(), 1.0)
     count = 0
--- a/emulator/__main__.py
+++ b/emulator/__main__.py
@@ -1,4 +1,4 @@
-"""Plays a site until it is stopped: ``python -m emulator --ip 127.0.0.1 --engines 2``."""
+"""Serves an emulated site until stopped: ``python -m emulator --ip 127.0.0.1 --engines 2``."""
 
 import argparse
 import json
--- a/emulator/clients.py
+++ b/emulator/clients.py
@@ -1,6 +1,7 @@
-"""Clients with open-loop arrivals: they do not wait for one another, and come back as told.
+"""Load generator with open-loop arrivals that retries as ``Retry-After`` says.
 
-A process of its own: reads one JSON order on standard input, prints one JSON report.
+Runs as a separate process: reads one JSON order from standard input and prints one JSON
+report. Requests start at the ordered rate, whether earlier ones have been answered or not.
 """
 
 import eventlet
@@ -20,57 +21,59 @@
 
 from emulator.sites import HOST, KEYS  # noqa: E402
 
-LONGEST_US = 60_000_000
-DIGITS = 3
+MAX_LATENCY_US = 60_000_000
+SIGNIFICANT_DIGITS = 3
 DEADLINE_S = 6.0
 RETRIES = 1
 SESSIONS = 20
-COMMON_TOKENS = 400
-SESSION_TOKENS = 600
-MEAN_OWN_TOKENS = 500
+COMMON_PREFIX_TOKENS = 400
+SESSION_PREFIX_TOKENS = 600
+MEAN_UNIQUE_TOKENS = 500
 OUTPUT_TOKENS = 30
 PLAIN_PATH = "/setpoint/a"
 
 
 @dataclass(slots=True)
-class Tally:
-    """What the clients saw on one route."""
+class RouteTally:
+    """Latencies and outcomes of the requests on one route."""
 
-    first_byte: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, LONGEST_US, DIGITS))
+    first_byte: HdrHistogram = field(
+        default_factory=lambda: HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
+    )
     statuses: Counter[str] = field(default_factory=Counter)
     refusals: Counter[str] = field(default_factory=Counter)
 
 
 class Clients:
-    """All clients of one order."""
+    """All clients that one order asks for."""
 
     def __init__(self, order: dict[str, Any]) -> None:
         self.order = order
         self.draw = random.Random(order["seed"])
-        self.tallies = {path: Tally() for path in ("/diagnosis/a", "/summary/a", PLAIN_PATH)}
+        self.tallies = {path: RouteTally() for path in ("/diagnosis/a", "/summary/a", PLAIN_PATH)}
 
     def run(self) -> dict[str, Any]:
-        """Send at the ordered rate until the end; wait for the last answers."""
+        """Send requests at the ordered rate until the end, then wait for the last answers."""
         end_s = time.monotonic() + self.order["seconds"]
         tasks = []
         while time.monotonic() < end_s:
-            tasks.append(eventlet.spawn(self._ask))
+            tasks.append(eventlet.spawn(self._send_with_retries))
             eventlet.sleep(self.draw.expovariate(self.order["rate_per_s"]))
         for task in tasks:
             task.wait()
-        return {path: _describe(tally) for path, tally in self.tallies.items()}
+        return {path: _summarize_tally(tally) for path, tally in self.tallies.items()}
 
-    def _ask(self) -> None:
+    def _send_with_retries(self) -> None:
         path = self.draw.choice(list(self.tallies))
         workspace = "planners" if self.draw.random() < self.order["flood_part"] else "dispatch"
         for attempt in range(RETRIES + 1):
-            wait_s = self._attempt(path, workspace)
+            wait_s = self._send_attempt(path, workspace)
             if wait_s is None or attempt == RETRIES:
                 return
             eventlet.sleep(min(wait_s, DEADLINE_S / 3.0))
 
-    def _attempt(self, path: str, workspace: str) -> float | None:
-        """Send once; returns when to come back, or None when it is over."""
+    def _send_attempt(self, path: str, workspace: str) -> float | None:
+        """Send one attempt; returns the delay before a retry, or None if none is due."""
         targets = self.order["targets"][path]
         ip, _, port = self.draw.choice(targets).rpartition(":")
         tally = self.tallies[path]
@@ -79,12 +82,12 @@
         try:
             method = "GET" if path == PLAIN_PATH else "POST"
             body = None if method == "GET" else b"x" * 1000
-            connection.request(method, path, body, self._headers(path, workspace))
+            connection.request(method, path, body, self._make_headers(path, workspace))
             response = connection.getresponse()
             first = response.read1(65536)
             if response.status == 200:
                 elapsed_us = int((time.monotonic() - started_s) * 1e6)
-                tally.first_byte.record_value(min(max(elapsed_us, 1), LONGEST_US))
+                tally.first_byte.record_value(min(max(elapsed_us, 1), MAX_LATENCY_US))
             content = first + response.read()
             tally.statuses[str(response.status)] += 1
             if response.status != 503:
@@ -97,7 +100,7 @@
         finally:
             connection.close()
 
-    def _headers(self, path: str, workspace: str) -> dict[str, str]:
+    def _make_headers(self, path: str, workspace: str) -> dict[str, str]:
         headers = {
             "Host": HOST,
             "Attempt-Id": f"{self.draw.getrandbits(64):016x}",
@@ -107,15 +110,15 @@
         if path == PLAIN_PATH:
             return headers
         session = self.draw.randrange(SESSIONS)
-        own = int(self.draw.lognormvariate(0.0, 0.8) * MEAN_OWN_TOKENS) + 1
-        prompt = COMMON_TOKENS + SESSION_TOKENS + own
+        own = int(self.draw.lognormvariate(0.0, 0.8) * MEAN_UNIQUE_TOKENS) + 1
+        prompt = COMMON_PREFIX_TOKENS + SESSION_PREFIX_TOKENS + own
         headers["Token-Counts"] = f"{prompt},{OUTPUT_TOKENS}"
-        parts = f"c0:{COMMON_TOKENS},{session:x}5e:{SESSION_TOKENS}"
+        parts = f"c0:{COMMON_PREFIX_TOKENS},{session:x}5e:{SESSION_PREFIX_TOKENS}"
         headers["Prompt-Prefix"] = f"{parts},{self.draw.getrandbits(32):x}:{own}"
         return headers
 
 
-def _describe(tally: Tally) -> dict[str, Any]:
+def _summarize_tally(tally: RouteTally) -> dict[str, Any]:
     histogram = tally.first_byte
     percentiles = (50.0, 90.0, 99.0)
     return {
--- a/emulator/control.py
+++ b/emulator/control.py
@@ -1,4 +1,4 @@
-"""How a test changes the site while it runs, and reads what it saw."""
+"""The control endpoint: tests change the running site here and read what it recorded."""
 
 import json
 from collections.abc import Callable
@@ -9,22 +9,25 @@
     MODEL_SERVICE,
     PLAIN_SERVICE,
     Site,
-    describe,
+    describe_site,
     end_engine,
     put_server,
-    return_from_copy,
+    restore_store_copy,
 )
 
 StartResponse = Callable[[str, list[tuple[str, str]]], Any]
 
 
 def make_control(site: Site) -> Callable[[dict[str, Any], StartResponse], list[bytes]]:
-    """Make the WSGI application: ``GET /`` describes, ``POST /`` takes an order."""
+    """Make the WSGI application.
+
+    ``GET /`` describes the site; ``POST /`` applies an order first and then describes the site.
+    """
 
     def application(environ: dict[str, Any], start_response: StartResponse) -> list[bytes]:
         if environ["REQUEST_METHOD"] == "POST":
-            take_order(site, json.loads(environ["wsgi.input"].read()))
-        body = json.dumps(describe(site)).encode()
+            apply_order(site, json.loads(environ["wsgi.input"].read()))
+        body = json.dumps(describe_site(site)).encode()
         headers = [("Content-Type", "application/json"), ("Content-Length", str(len(body)))]
         start_response("200 OK", headers)
         return [body]
@@ -32,8 +35,8 @@
     return application
 
 
-def take_order(site: Site, order: dict[str, Any]) -> None:
-    """Change the site as a test asks."""
+def apply_order(site: Site, order: dict[str, Any]) -> None:
+    """Apply the changes in a test's order to the site."""
     targets: dict[str, Any] = {"store": site.store.faults, "engines": site.engine_faults}
     targets |= {name: engine.faults for name, engine in site.engines.items()}
     targets |= {name: service.faults for name, service in site.services.items()}
@@ -50,7 +53,7 @@
     if "configuration_text" in order:
         site.store.put("op/config", order["configuration_text"])
     for name, address in order.get("addresses", {}).items():
-        # The server is reached by another way from now on.
+        # Publishes another address for the server, such as that of a proxy.
         site.addresses[name] = address
         _put_entry(site, name, "ready")
     for name, zone in order.get("zones", {}).items():
@@ -68,11 +71,11 @@
     for name in order.get("end", []):
         end_engine(site, site.engines[name])
     if order.get("keep_copy"):
-        site.store.keep_copy()
+        site.store.save_copy()
     if order.get("return_from_copy"):
-        return_from_copy(site)
+        restore_store_copy(site)
     if order.get("forget_history"):
-        site.store.forget_history()
+        site.store.compact_history()
 
 
 def _put_entry(site: Site, name: str, state: str) -> None:
--- a/emulator/endings.py
+++ b/emulator/endings.py
@@ -1,4 +1,4 @@
-"""Servers whose process can end: all its connections break, and it starts again later."""
+"""Servers that can end like a killed process and be started again at the same address."""
 
 import socket
 from collections.abc import Callable
@@ -7,20 +7,20 @@
 import eventlet
 from eventlet import wsgi
 
-BEGUN_HEAD = (
+ANSWER_HEAD = (
     "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nAttempt-Id: {attempt_id}\r\n"
     "Response-Seal: {seal}\r\nTransfer-Encoding: chunked\r\n\r\n"
 )
-"""What a run's caller has got when its engine ends as it begins the run."""
+"""The part of an answer that a client receives when the engine ends at the start of the run."""
 
 StartResponse = Callable[[str, list[tuple[str, str]]], Any]
 
 
-class EndingProcess:
-    """One process that serves an application at an address, until it ends."""
+class RestartableServer:
+    """Serves a WSGI application at one address and can break all its connections at once."""
 
     def __init__(self, ip: str, application: Callable[..., Any]) -> None:
-        """Start to serve, on a port of the system's choice."""
+        """Start serving, on a port that the operating system chooses."""
         self._application = application
         self._connections: set[Any] = set()
         self._ip = ip
@@ -30,18 +30,18 @@
 
     @property
     def address(self) -> str:
-        """Return where it serves; the same after each start."""
+        """Return the address, which is the same after each start."""
         return f"{self._ip}:{self._port}"
 
     def start(self) -> None:
-        """Listen, and serve until the end."""
+        """Listen, and serve until :meth:`end` is called."""
         self._listener = eventlet.listen((self._ip, self._port))
         self._port = self._listener.getsockname()[1]
         eventlet.spawn(
             wsgi.server,
             self._listener,
             self._answer,
-            log=Silent(),
+            log=NullLog(),
             log_output=False,
             debug=False,
             capitalize_response_headers=False,
@@ -49,8 +49,8 @@
         )
 
     def end(self) -> None:
-        """Stop to listen, and break every connection."""
-        # Not by ending the server's task: that waits for its connections first.
+        """Stop listening and break every connection."""
+        # Killing the task of the WSGI server would wait for its connections to finish.
         self._listener.shutdown(socket.SHUT_RDWR)
         self._listener.close()
         connections, self._connections = self._connections, set()
@@ -58,7 +58,7 @@
             try:
                 connection.shutdown(socket.SHUT_RDWR)
             except OSError:
-                # Its other side has closed it.
+                # The client has closed the connection already.
                 continue
 
     def _answer(self, environ: dict[str, Any], start_response: StartResponse) -> Any:
@@ -67,13 +67,13 @@
         return self._application(environ, start_response)
 
 
-def send_begun_head(connection: Any, attempt_id: str, seal: str) -> None:
-    """Send the head of an answer of which nothing else will come."""
-    connection.sendall(BEGUN_HEAD.format(attempt_id=attempt_id, seal=seal).encode())
+def send_answer_head(connection: Any, attempt_id: str, seal: str) -> None:
+    """Send the head of an answer without any of its body."""
+    connection.sendall(ANSWER_HEAD.format(attempt_id=attempt_id, seal=seal).encode())
 
 
-class Silent:
-    """Swallows a server's own log."""
+class NullLog:
+    """A log file for ``wsgi.server`` that discards everything."""
 
     def write(self, text: str) -> None:
-        """Do nothing."""
+        """Discard the text."""
--- a/emulator/engines.py
+++ b/emulator/engines.py
@@ -1,4 +1,4 @@
-"""A model engine: batches, piecewise reading of prompts, a prompt cache, seals and faults."""
+"""A model engine: batched steps, chunked prompt reading, a prompt cache, seals and faults."""
 
 import hashlib
 import socket
@@ -12,18 +12,18 @@
 from eventlet import patcher
 from eventlet.queue import Empty, LightQueue
 
-from emulator.endings import send_begun_head
+from emulator.endings import send_answer_head
 
-READER_CHECK_S = 0.02
-"""How often an engine looks whether a stream's reader is still there."""
+DISCONNECT_CHECK_INTERVAL_S = 0.02
+"""How often an engine checks whether the client of a stream has disconnected."""
 
 SYSTEM_HEADERS = frozenset({"retention", "pin-duration-ms", "kv-backup", "kv-from", "kv-fetch"})
-"""Headers of a request that the system alone may set; callers forge them."""
+"""Request headers that only the system may set. Clients may try to forge them."""
 
 REFUSED_HEADERS = frozenset({"retention", "kv-from"})
-"""Of these, those that name what an engine has to know: a forged one is refused."""
+"""System headers that name state which the engine must have; it refuses a forged one."""
 
-ARRIVALS_KEPT = 3000
+MAX_ARRIVALS = 3000
 
 _select = patcher.original("select")
 
@@ -32,68 +32,68 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineSpeed:
-    """How fast an engine works."""
+    """An engine's speed and capacity."""
 
     step_ms: float = 5.0
     read_tokens_per_ms: float = 40.0
     chunk_tokens: int = 1024
     event_tokens: int = 3
     slots: int = 16
-    queue: int = 64
-    memory_tokens: int = 60_000
+    max_waiting: int = 64
+    cache_tokens: int = 60_000
 
 
 @dataclass(slots=True)
 class EngineFaults:
-    """What is wrong with an engine at present; counts fall as they strike."""
+    """Faults that an engine shows at present. Each count falls by one when its fault occurs."""
 
     reset_answers: int = 0
-    """So many requests run and get no answer."""
+    """The number of requests to run without sending an answer."""
     wrong_ids: int = 0
     refusals: int = 0
     hold_after_events: int = 0
-    """Streams stand still after so many events until this is 0 again."""
+    """Streams stall after this number of events, until it is set back to 0."""
     silent: bool = False
-    """Nothing is made for anyone, though requests are taken."""
+    """Whether requests are accepted but no output is generated."""
     leaving: bool = False
-    """All answers say that the engine leaves, whatever its entry says."""
+    """Whether all answers say that the engine leaves, whatever state its store entry shows."""
     refuse_every: int = 0
-    """One in so many requests is refused."""
+    """Refuses one request in every N; 0 refuses none."""
     retry_after: str = ""
-    """Refusals ask to be left alone for this long, in seconds."""
+    """The ``Retry-After`` value of refusals, in seconds; empty to send none."""
 
 
 @dataclass(slots=True)
 class SharedFaults:
-    """What strikes whichever engine comes first."""
+    """Faults that apply to whichever engine meets their condition."""
 
     break_after_events: int = 0
-    """The next stream breaks off after so many events."""
+    """The next stream breaks off after this number of events; 0 breaks none."""
     ending_body: str = ""
-    """A request whose body begins so ends each engine that begins to run it."""
+    """A request whose body begins with this text ends each engine that begins to run it."""
     end_after_ms: float = 40.0
-    """How long after that."""
+    """Time from the beginning of such a run to the engine's end."""
     back_after_s: float = 1.0
-    """How long after its end an engine starts again."""
+    """Time from an engine's end until it starts again."""
     keeps_id: bool = False
-    """It starts again under the id that it had."""
+    """Whether an engine starts again under the same id."""
 
 
 @dataclass(slots=True)
 class Run:
-    """One request at the engine."""
+    """One request that an engine runs."""
 
     attempt_id: str
     unread_tokens: int
     output_tokens: int
     first_event: int
     events: LightQueue = field(default_factory=LightQueue)
-    made_tokens: int = 0
+    generated_tokens: int = 0
     cancelled: bool = False
 
 
 class Engine:
-    """One engine's state and its step loop."""
+    """One engine: its queue, its prompt cache and its step loop."""
 
     def __init__(self, identifier: str, speed: EngineSpeed, shared: SharedFaults) -> None:
         self.identifier = identifier
@@ -104,44 +104,44 @@
         self.running: list[Run] = []
         self.cache: OrderedDict[str, int] = OrderedDict()
         self.runs: Counter[str] = Counter()
-        """How often each attempt was begun."""
+        """How often each attempt was begun, by attempt id."""
         self.cancelled: Counter[str] = Counter()
         self.arrivals = Arrivals()
         self.seen_headers: dict[str, dict[str, str]] = {}
         self.system_headers: list[tuple[str, str]] = []
-        """Headers that the system alone may set, as they came, with their values."""
+        """Headers received that only the system may set, with their values."""
         self.read_tokens = 0
         self.end: Callable[[], None] = lambda: None
         """Ends the engine's process."""
 
-    def forget(self) -> None:
-        """Drop what a process loses that ends."""
+    def discard_state(self) -> None:
+        """Discard the state that a process loses when it ends."""
         for run in (*self.waiting, *self.running):
             run.cancelled = True
         self.waiting.clear()
         self.running.clear()
         self.cache.clear()
-        # Its next start may have another id, and has been sent nothing yet.
+        # After a restart the engine may have another id, and no request has reached it yet.
         self.arrivals = Arrivals()
 
     def step_forever(self) -> None:
-        """Run one step after another."""
+        """Run engine steps in an endless loop."""
         while True:
-            spent_ms = self.speed.step_ms + self._read() / self.speed.read_tokens_per_ms
+            spent_ms = self.speed.step_ms + self._read_prompts() / self.speed.read_tokens_per_ms
             eventlet.sleep(spent_ms / 1000.0 if self.running else 0.001)
             for run in list(self.running):
-                self._make(run)
+                self._generate_token(run)
 
     def answer(self, environ: dict[str, Any], start_response: StartResponse) -> Any:
         """Serve one request; a WSGI application."""
         attempt_id = environ.get("HTTP_ATTEMPT_ID", "")
-        self.arrivals.note(attempt_id)
+        self.arrivals.record(attempt_id)
         refusal = self._find_refusal(environ, attempt_id)
         if refusal is not None:
             environ["wsgi.input"].read()
             headers = [("Content-Length", "0"), ("Attempt-Id", attempt_id)]
-            told = tell_of_server(self.faults.leaving, self.faults.retry_after, refusal)
-            start_response(refusal, [*headers, ("Not-Executed", "1"), *told])
+            notice = make_notice_headers(self.faults.leaving, self.faults.retry_after, refusal)
+            start_response(refusal, [*headers, ("Not-Executed", "1"), *notice])
             return []
         body = environ["wsgi.input"].read()
         self.runs[attempt_id] += 1
@@ -151,10 +151,10 @@
         if self.faults.reset_answers > 0:
             self.faults.reset_answers -= 1
             break_connection(environ)
-        run = self._start(environ, attempt_id)
+        run = self._enqueue_run(environ, attempt_id)
         ending = self.shared.ending_body.encode()
         if ending and body.startswith(ending):
-            self._end_with(environ, attempt_id)
+            self._end_during_run(environ, attempt_id)
         shown_id = attempt_id
         if self.faults.wrong_ids > 0:
             self.faults.wrong_ids -= 1
@@ -162,26 +162,26 @@
         headers = [
             ("Content-Type", "text/event-stream"),
             ("Attempt-Id", shown_id),
-            ("Response-Seal", self.seal(attempt_id)),
+            ("Response-Seal", self.make_seal(attempt_id)),
             ("X-Body-Digest", hashlib.sha256(body).hexdigest()),
         ]
-        headers += tell_of_server(self.faults.leaving)
+        headers += make_notice_headers(self.faults.leaving)
         if self.faults.leaving:
             headers.append(("Connection", "close"))
         start_response("200 OK", headers)
         return Stream(self, run, environ["wsgi.input"].get_socket())
 
-    def _end_with(self, environ: dict[str, Any], attempt_id: str) -> None:
-        """End as this run begins; its caller has got the answer's head."""
-        send_begun_head(environ["wsgi.input"].get_socket(), attempt_id, self.seal(attempt_id))
+    def _end_during_run(self, environ: dict[str, Any], attempt_id: str) -> None:
+        """End the engine's process just after sending the head of this run's answer."""
+        send_answer_head(environ["wsgi.input"].get_socket(), attempt_id, self.make_seal(attempt_id))
         eventlet.sleep(self.shared.end_after_ms / 1000.0)
-        # In a task of its own, since this one ends with the engine.
+        # In a separate task, because this one ends with the engine.
         eventlet.spawn_n(self.end)
         eventlet.sleep(self.shared.end_after_ms / 1000.0)
         raise ConnectionResetError("the engine has ended")
 
-    def seal(self, attempt_id: str) -> str:
-        """Return the seal of an answer of this engine."""
+    def make_seal(self, attempt_id: str) -> str:
+        """Return the seal of this engine's answer to an attempt."""
         return hashlib.sha256(f"{self.identifier}/{attempt_id}".encode()).hexdigest()[:16]
 
     def _find_refusal(self, environ: dict[str, Any], attempt_id: str) -> str | None:
@@ -197,34 +197,34 @@
         if self.faults.refusals > 0:
             self.faults.refusals -= 1
             return "503 Service Unavailable"
-        if is_refused(self.faults.refuse_every, self.arrivals):
+        if should_refuse(self.faults.refuse_every, self.arrivals):
             return "503 Service Unavailable"
-        if len(self.waiting) >= self.speed.queue:
+        if len(self.waiting) >= self.speed.max_waiting:
             return "503 Service Unavailable"
         return None
 
-    def _start(self, environ: dict[str, Any], attempt_id: str) -> Run:
-        prompt, _, most = environ.get("HTTP_TOKEN_COUNTS", "1,3").partition(",")
+    def _enqueue_run(self, environ: dict[str, Any], attempt_id: str) -> Run:
+        prompt, _, max_output = environ.get("HTTP_TOKEN_COUNTS", "1,3").partition(",")
         first_event = int(environ.get("HTTP_LAST_EVENT_ID") or 0) + 1
-        kept = self._use_cache(environ.get("HTTP_PROMPT_PREFIX", ""))
-        run = Run(attempt_id, max(int(prompt) - kept, 1), int(most), first_event)
+        cached = self._use_cache(environ.get("HTTP_PROMPT_PREFIX", ""))
+        run = Run(attempt_id, max(int(prompt) - cached, 1), int(max_output), first_event)
         self.waiting.append(run)
         return run
 
     def _use_cache(self, text: str) -> int:
-        kept, unbroken = 0, True
+        cached, contiguous = 0, True
         for item in filter(None, text.split(",")):
             part_id, _, tokens = item.partition(":")
-            unbroken = unbroken and part_id in self.cache
-            kept += int(tokens) if unbroken else 0
+            contiguous = contiguous and part_id in self.cache
+            cached += int(tokens) if contiguous else 0
             self.cache.pop(part_id, None)
             self.cache[part_id] = int(tokens)
-        while sum(self.cache.values()) > self.speed.memory_tokens:
+        while sum(self.cache.values()) > self.speed.cache_tokens:
             self.cache.popitem(last=False)
-        return kept
+        return cached
 
-    def _read(self) -> int:
-        """Read a piece of the prompts that wait, oldest first; returns its tokens."""
+    def _read_prompts(self) -> int:
+        """Read the next chunk of the running prompts, oldest first; returns the tokens read."""
         while self.waiting and len(self.running) < self.speed.slots:
             self.running.append(self.waiting.pop(0))
         left = self.speed.chunk_tokens
@@ -236,73 +236,78 @@
         self.read_tokens += read
         return read
 
-    def _make(self, run: Run) -> None:
+    def _generate_token(self, run: Run) -> None:
         if run.cancelled:
             self.running.remove(run)
             return
-        if run.unread_tokens > 0 or self.faults.silent or self._stands_still(run):
+        if run.unread_tokens > 0 or self.faults.silent or self._is_held(run):
             return
-        run.made_tokens += 1
-        if run.made_tokens % self.speed.event_tokens == 0 or run.made_tokens >= run.output_tokens:
-            number = -(-run.made_tokens // self.speed.event_tokens)
+        run.generated_tokens += 1
+        if (
+            run.generated_tokens % self.speed.event_tokens == 0
+            or run.generated_tokens >= run.output_tokens
+        ):
+            number = -(-run.generated_tokens // self.speed.event_tokens)
             if number >= run.first_event:
                 run.events.put(number)
-        if run.made_tokens >= run.output_tokens:
+        if run.generated_tokens >= run.output_tokens:
             run.events.put(0)
             self.running.remove(run)
 
-    def _stands_still(self, run: Run) -> bool:
+    def _is_held(self, run: Run) -> bool:
         limit = self.faults.hold_after_events * self.speed.event_tokens
-        return 0 < limit <= run.made_tokens
+        return 0 < limit <= run.generated_tokens
 
 
 class Arrivals:
-    """What reached a server, run or not: attempts with the steady clock's time."""
+    """The latest requests that reached a server, run or refused, with monotonic arrival times."""
 
     def __init__(self) -> None:
-        self.seen: deque[tuple[str, float]] = deque(maxlen=ARRIVALS_KEPT)
+        self.seen: deque[tuple[str, float]] = deque(maxlen=MAX_ARRIVALS)
         self.count = 0
 
-    def note(self, attempt_id: str) -> None:
-        """Note one request, as its head has been read."""
+    def record(self, attempt_id: str) -> None:
+        """Record one request once its head has been read."""
         self.seen.append((attempt_id, time.monotonic()))
         self.count += 1
 
 
-def is_refused(refuse_every: int, arrivals: Arrivals) -> bool:
-    """Tell whether the last request to arrive is one of those that are turned away."""
+def should_refuse(refuse_every: int, arrivals: Arrivals) -> bool:
+    """Return whether the latest arrival is one in every ``refuse_every`` that is refused."""
     return refuse_every > 0 and arrivals.count % refuse_every == 0
 
 
-def tell_of_server(leaving: bool, retry_after: str = "", status: str = "") -> list[tuple[str, str]]:
-    """Return the headers by which a server tells of itself in an answer."""
-    told = [("Server-Leaving", "1")] if leaving else []
+def make_notice_headers(
+    leaving: bool, retry_after: str = "", status: str = ""
+) -> list[tuple[str, str]]:
+    """Return the headers in which a server announces that it leaves or asks for back-off."""
+    headers = [("Server-Leaving", "1")] if leaving else []
     if retry_after and status.startswith("503"):
-        told.append(("Retry-After", retry_after))
-    return told
+        headers.append(("Retry-After", retry_after))
+    return headers
 
 
 def find_system_headers(environ: dict[str, Any]) -> list[tuple[str, str]]:
-    """Return a request's headers that only the system may set, however they are spelled."""
-    plain = [(name.lower().replace("_", "-"), value) for name, value in environ["headers_raw"]]
-    return [(name, value) for name, value in plain if name in SYSTEM_HEADERS]
+    """Return the system headers of a request, in any case and with ``-`` or ``_``."""
+    normalized = [(name.lower().replace("_", "-"), value) for name, value in environ["headers_raw"]]
+    return [(name, value) for name, value in normalized if name in SYSTEM_HEADERS]
 
 
-def has_left(connection: Any) -> bool:
-    """Tell whether the other side has closed its connection."""
+def is_disconnected(connection: Any) -> bool:
+    """Return whether the peer has closed the connection."""
     poller = _select.poll()
     poller.register(connection.fileno(), _select.POLLRDHUP | _select.POLLHUP | _select.POLLERR)
     return bool(poller.poll(0))
 
 
 def break_connection(environ: dict[str, Any]) -> None:
-    """Close a caller's connection without an answer."""
+    """Close a client's connection without an answer."""
     environ["wsgi.input"].get_socket().shutdown(socket.SHUT_RDWR)
-    raise ConnectionResetError("the answer is lost")
+    raise ConnectionResetError("connection closed without an answer")
 
 
 class Stream:
-    """The events of one run; closing it cancels the run."""
+    """The events of one run. Closing the stream early cancels the run."""
 
     def __init__(self, engine: Engine, run: Run, connection: Any) -> None:
         self._engine = engine
@@ -317,7 +322,7 @@
         faults = self._engine.shared
         if 0 < faults.break_after_events <= self._sent:
             faults.break_after_events = 0
-            raise ConnectionResetError("the stream breaks off")
+            raise ConnectionResetError("stream broken off by an injected fault")
         number = self._wait_for_event()
         if number == 0:
             raise StopIteration
@@ -325,17 +330,17 @@
         return b"id: %d\ndata: event %d\n\n" % (number, number)
 
     def _wait_for_event(self) -> int:
-        """Return the next event's number, unless the reader leaves meanwhile."""
+        """Return the next event's number; raises if the client disconnects meanwhile."""
         while True:
             try:
-                number: int = self._run.events.get(timeout=READER_CHECK_S)
+                number: int = self._run.events.get(timeout=DISCONNECT_CHECK_INTERVAL_S)
                 return number
             except Empty:
-                if has_left(self._connection):
-                    raise ConnectionResetError("the reader has left") from None
+                if is_disconnected(self._connection):
+                    raise ConnectionResetError("client closed the connection") from None
 
     def close(self) -> None:
-        """End the run if its reader has gone."""
-        if self._run.made_tokens < self._run.output_tokens:
+        """Cancel the run if the stream closes before all output was generated."""
+        if self._run.generated_tokens < self._run.output_tokens:
             self._run.cancelled = True
             self._engine.cancelled[self._run.attempt_id] += 1
--- a/emulator/services.py
+++ b/emulator/services.py
@@ -1,4 +1,4 @@
-"""A plain service: a few slots, a fixed time of work, seals, and faults."""
+"""Servers of a plain service: a few slots, a fixed service time, seals and faults."""
 
 import hashlib
 import socket
@@ -14,32 +14,32 @@
     Arrivals,
     break_connection,
     find_system_headers,
-    is_refused,
-    tell_of_server,
+    make_notice_headers,
+    should_refuse,
 )
 
 RESET_DELAY_S = 0.1
-"""The half that was sent has surely been read by then."""
+"""Long enough for the first half of the answer to be read before the reset."""
 
 StartResponse = Callable[[str, list[tuple[str, str]]], Any]
 
 
 @dataclass(slots=True)
 class ServiceFaults:
-    """What is wrong with a service at present; counts fall as they strike."""
+    """Faults that a service shows at present. Each count falls by one when its fault occurs."""
 
     reset_answers: int = 0
     refusals: int = 0
     errors: int = 0
     unframed_resets: int = 0
-    """So many answers have no length and are reset half-way."""
+    """The number of answers to send without a length and to reset half-way."""
     work_ms: float = 5.0
     leaving: bool = False
-    """All answers say that the server leaves, whatever its entry says."""
+    """Whether all answers say that the server leaves, whatever state its store entry shows."""
     refuse_every: int = 0
-    """One in so many requests is refused."""
+    """Refuses one request in every N; 0 refuses none."""
     retry_after: str = ""
-    """Refusals ask to be left alone for this long, in seconds."""
+    """The ``Retry-After`` value of refusals, in seconds; empty to send none."""
 
 
 class PlainService:
@@ -58,15 +58,15 @@
     def answer(self, environ: dict[str, Any], start_response: StartResponse) -> list[bytes]:
         """Serve one request; a WSGI application."""
         attempt_id = environ.get("HTTP_ATTEMPT_ID", "")
-        self.arrivals.note(attempt_id)
+        self.arrivals.record(attempt_id)
         expected = environ.get("HTTP_EXPECTED_INSTANCE")
         body = environ["wsgi.input"].read()
         if expected and expected != self.identifier:
-            return self._decline("421 Misdirected Request", attempt_id, start_response)
-        is_unlucky = is_refused(self.faults.refuse_every, self.arrivals)
-        if is_unlucky or self.faults.refusals > 0 or self.busy >= self.slots:
+            return self._refuse("421 Misdirected Request", attempt_id, start_response)
+        is_chosen = should_refuse(self.faults.refuse_every, self.arrivals)
+        if is_chosen or self.faults.refusals > 0 or self.busy >= self.slots:
             self.faults.refusals = max(self.faults.refusals - 1, 0)
-            return self._decline("503 Service Unavailable", attempt_id, start_response)
+            return self._refuse("503 Service Unavailable", attempt_id, start_response)
         self.runs[attempt_id] += 1
         self.system_headers += find_system_headers(environ)
         self.seen_headers[attempt_id] = {
@@ -91,14 +91,14 @@
             ("Content-Length", str(len(content))),
             ("Attempt-Id", attempt_id),
             ("Response-Seal", seal),
-            *tell_of_server(self.faults.leaving),
+            *make_notice_headers(self.faults.leaving),
         ]
         start_response("500 Internal Server Error" if failed else "200 OK", headers)
         return [content]
 
-    def _decline(self, status: str, attempt_id: str, start_response: StartResponse) -> list[bytes]:
+    def _refuse(self, status: str, attempt_id: str, start_response: StartResponse) -> list[bytes]:
         headers = [("Content-Length", "0"), ("Attempt-Id", attempt_id), ("Not-Executed", "1")]
-        headers += tell_of_server(self.faults.leaving, self.faults.retry_after, status)
+        headers += make_notice_headers(self.faults.leaving, self.faults.retry_after, status)
         start_response(status, headers)
         return []
 
@@ -111,4 +111,4 @@
     eventlet.sleep(RESET_DELAY_S)
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     connection.fd.close()
-    raise ConnectionResetError("the answer is reset")
+    raise ConnectionResetError("connection reset half-way through the answer")
--- a/emulator/sites.py
+++ b/emulator/sites.py
@@ -11,7 +11,7 @@
 import eventlet
 from eventlet import wsgi
 
-from emulator.endings import EndingProcess, Silent
+from emulator.endings import NullLog, RestartableServer
 from emulator.engines import Engine, EngineSpeed, SharedFaults
 from emulator.services import PlainService
 from emulator.store import Store
@@ -21,49 +21,49 @@
 HOST = "site.example"
 SPLIT = [{"Service": PLAIN_SERVICE, "Weight": 1}, {"Service": PLAIN_SERVICE, "Weight": 3}]
 ZONE = "hall-1"
-WRITTEN_AGAIN_S = 1.0
-"""How long after the store's return its operator and servers have written again."""
+REWRITE_DELAY_S = 1.0
+"""Delay from the store's restoration until its operator and servers rewrite their items."""
 
-LAPSED_S = 3.0
-"""How long after it the entries go that nobody renews."""
+RESTORED_ENTRY_EXPIRY_S = 3.0
+"""Delay from the store's restoration until entries that nobody renews expire."""
 
-LAPSE_S = 1.0
-"""How long after its end a server's entry goes."""
+ENTRY_EXPIRY_S = 1.0
+"""Delay from a server's end until its entry expires."""
 
 KEYS = {"planners": "key-planners", "dispatch": "key-dispatch"}
 
 
 @dataclass(slots=True)
 class Site:
-    """Everything that the emulator plays."""
+    """All parts of the emulated site."""
 
     store: Store = field(default_factory=Store)
     engines: dict[str, Engine] = field(default_factory=dict)
     services: dict[str, PlainService] = field(default_factory=dict)
     engine_faults: SharedFaults = field(default_factory=SharedFaults)
     addresses: dict[str, str] = field(default_factory=dict)
-    """Address of the store, and of each server by its id."""
-    processes: dict[str, EndingProcess] = field(default_factory=dict)
-    """Of the engines, by id."""
-    born_ms: dict[str, int] = field(default_factory=dict)
-    """When each engine started, in Unix time."""
+    """Addresses by name: of the store, of the control, and of each server by its id."""
+    processes: dict[str, RestartableServer] = field(default_factory=dict)
+    """The engines' processes, by engine id."""
+    started_at_ms: dict[str, int] = field(default_factory=dict)
+    """Start time of each engine as Unix time in ms, by engine id."""
     zones: dict[str, str] = field(default_factory=dict)
-    """Of the servers that stand elsewhere than most."""
-    ended: list[str] = field(default_factory=list)
-    """The engines that ended, in order."""
-    starts: "itertools.count[int]" = field(default_factory=lambda: itertools.count(1))
+    """Zones of the servers that are not in ``ZONE``, by server id."""
+    ended_engines: list[str] = field(default_factory=list)
+    """Ids of the engines that ended, in order."""
+    restart_numbers: "itertools.count[int]" = field(default_factory=lambda: itertools.count(1))
 
 
 def start_site(ip: str, engines: int, services: int, speed: EngineSpeed) -> Site:
-    """Start all parts as tasks of this process."""
+    """Start the store, the engines and the services as tasks of this process."""
     site = Site()
     site.addresses["store"] = serve(ip, site.store.answer)
     for number in range(1, engines + 1):
         engine = Engine(f"i-engine-{number}", speed, site.engine_faults)
         site.engines[engine.identifier] = engine
-        engine.end = _make_end(site, engine)
+        engine.end = _make_end_callback(site, engine)
         eventlet.spawn(engine.step_forever)
-        _note_start(site, engine, EndingProcess(ip, engine.answer))
+        _register_engine(site, engine, RestartableServer(ip, engine.answer))
     for number in range(1, services + 1):
         service = PlainService(f"i-desk-{number}", slots=6)
         site.services[service.identifier] = service
@@ -73,63 +73,67 @@
 
 
 def end_engine(site: Site, engine: Engine) -> None:
-    """End an engine's process; it is back after a while, knowing nothing."""
+    """End an engine's process; it starts again later without its state."""
     identifier = engine.identifier
     process = site.processes.pop(identifier, None)
     if process is None:
-        # It has ended already.
+        # The engine has ended already and not started again.
         return
-    site.ended.append(identifier)
+    site.ended_engines.append(identifier)
     process.end()
-    engine.forget()
+    engine.discard_state()
     shared = site.engine_faults
-    eventlet.spawn_after(shared.back_after_s, _start_again, site, engine, process)
+    eventlet.spawn_after(shared.back_after_s, _restart_engine, site, engine, process)
     if not shared.keeps_id:
-        eventlet.spawn_after(LAPSE_S, site.store.drop, f"servers/{identifier}")
+        eventlet.spawn_after(ENTRY_EXPIRY_S, site.store.drop, f"servers/{identifier}")
 
 
-def return_from_copy(site: Site) -> None:
-    """Let the store come back from its copy; whoever lives writes again what it wrote."""
-    before = site.store.return_from_copy()
-    eventlet.spawn_after(WRITTEN_AGAIN_S, _write_again, site, before)
-    eventlet.spawn_after(LAPSED_S, _drop_lapsed, site, before)
+def restore_store_copy(site: Site) -> None:
+    """Restore the store from its copy.
 
+    Shortly after, the operator and live servers write the lost items again, and the entries
+    of servers that have left since the copy expire.
+    """
+    before = site.store.restore_copy()
+    eventlet.spawn_after(REWRITE_DELAY_S, _rewrite_items, site, before)
+    eventlet.spawn_after(RESTORED_ENTRY_EXPIRY_S, _drop_expired_entries, site, before)
 
-def _write_again(site: Site, before: dict[str, dict[str, Any]]) -> None:
+
+def _rewrite_items(site: Site, before: dict[str, dict[str, Any]]) -> None:
     for key, item in before.items():
         if site.store.items.get(key, {}).get("Value") != item["Value"]:
             site.store.put(key, base64.b64decode(item["Value"]).decode())
 
 
-def _drop_lapsed(site: Site, before: dict[str, dict[str, Any]]) -> None:
-    """Drop the servers that have left since the copy: nobody renews their entries."""
-    for key in set(site.store.copied[0]) - before.keys():
+def _drop_expired_entries(site: Site, before: dict[str, dict[str, Any]]) -> None:
+    """Remove the entries of servers that have left since the copy, which nobody renews."""
+    for key in set(site.store.saved_copy[0]) - before.keys():
         site.store.drop(key)
 
 
-def _make_end(site: Site, engine: Engine) -> Callable[[], None]:
+def _make_end_callback(site: Site, engine: Engine) -> Callable[[], None]:
     return lambda: end_engine(site, engine)
 
 
-def _start_again(site: Site, engine: Engine, process: EndingProcess) -> None:
+def _restart_engine(site: Site, engine: Engine, process: RestartableServer) -> None:
     process.start()
     if not site.engine_faults.keeps_id:
         del site.engines[engine.identifier]
-        engine.identifier = f"i-engine-again-{next(site.starts)}"
+        engine.identifier = f"i-engine-again-{next(site.restart_numbers)}"
         site.engines[engine.identifier] = engine
-    _note_start(site, engine, process)
+    _register_engine(site, engine, process)
 
 
-def _note_start(site: Site, engine: Engine, process: EndingProcess) -> None:
+def _register_engine(site: Site, engine: Engine, process: RestartableServer) -> None:
     identifier = engine.identifier
     site.processes[identifier] = process
     site.addresses[identifier] = process.address
-    site.born_ms[identifier] = int(time.time() * 1000)
+    site.started_at_ms[identifier] = int(time.time() * 1000)
     put_server(site, identifier, MODEL_SERVICE, engine.speed.slots)
 
 
 def put_server(site: Site, identifier: str, service: str, slots: int, state: str = "ready") -> None:
-    """Write a server's entry."""
+    """Write a server's entry into the store."""
     entry = {
         "Service": service,
         "Address": site.addresses[identifier],
@@ -140,8 +144,8 @@
         "ColdRemainingMs": 0,
         "SequenceNumber": 1,
     }
-    if identifier in site.born_ms:
-        entry["born"] = site.born_ms[identifier]
+    if identifier in site.started_at_ms:
+        entry["born"] = site.started_at_ms[identifier]
     site.store.put(f"servers/{identifier}", json.dumps(entry))
 
 
@@ -179,7 +183,7 @@
 
 
 def make_route(name: str, kind: str, service: str, **changes: Any) -> dict[str, Any]:
-    """Return one route, under its own name as the path."""
+    """Return one route whose path prefix is its name."""
     return {
         "Name": name,
         "Host": HOST,
@@ -195,13 +199,13 @@
 
 
 def serve(ip: str, application: Callable[..., Any]) -> str:
-    """Serve an application on a port of the system's choice; returns its address."""
+    """Serve an application on a port that the operating system chooses; returns the address."""
     listener = eventlet.listen((ip, 0))
     eventlet.spawn(
         wsgi.server,
         listener,
         application,
-        log=Silent(),
+        log=NullLog(),
         log_output=False,
         debug=False,
         capitalize_response_headers=False,
@@ -210,12 +214,12 @@
     return f"{ip}:{listener.getsockname()[1]}"
 
 
-def describe(site: Site) -> dict[str, Any]:
-    """Return what the site has seen, for tests."""
+def describe_site(site: Site) -> dict[str, Any]:
+    """Return what the site has recorded, for tests."""
     servers: dict[str, Any] = {**site.engines, **site.services}
     return {
         "calls": dict(site.store.calls),
-        "ended": list(site.ended),
+        "ended": list(site.ended_engines),
         "servers": {
             name: {
                 "runs": dict(server.runs),
--- a/emulator/store.py
+++ b/emulator/store.py
@@ -1,4 +1,4 @@
-"""The platform's store: items with revisions, ranges, watches, and its failures."""
+"""The platform's key-value store: revisions, range reads, watches and injected faults."""
 
 import base64
 import json
@@ -11,57 +11,58 @@
 import eventlet
 from eventlet.event import Event
 
-HISTORY_ITEMS = 1000
-PAGE_ITEMS = 50
+MAX_HISTORY_ITEMS = 1000
+MAX_PAGE_ITEMS = 50
 
 StartResponse = Callable[[str, list[tuple[str, str]]], Any]
 
 
 @dataclass(slots=True)
 class StoreFaults:
-    """What is wrong with the store at present."""
+    """Faults that the store shows at present."""
 
     status: int = 0
-    """Every call is answered with this, such as 503 or 429."""
+    """The status of every answer, such as 503 or 429; 0 for regular answers."""
     silent: bool = False
     nonsense: bool = False
-    """Answers are JSON, and nothing that the pages describe."""
+    """Whether answers are JSON that does not follow the store's documented format."""
     slow_ms: float = 0.0
 
 
 @dataclass(slots=True)
 class Store:
-    """All items, with the history that watches read."""
+    """All items, and the history from which watches are answered."""
 
     items: dict[str, dict[str, Any]] = field(default_factory=dict)
-    history: deque[dict[str, Any]] = field(default_factory=lambda: deque(maxlen=HISTORY_ITEMS))
-    forgotten_revision: int = 0
+    history: deque[dict[str, Any]] = field(default_factory=lambda: deque(maxlen=MAX_HISTORY_ITEMS))
+    compacted_revision: int = 0
     revision: int = 0
     changed: Event = field(default_factory=Event)
     faults: StoreFaults = field(default_factory=StoreFaults)
     calls: Counter[str] = field(default_factory=Counter)
     era: int = 1
-    """Rises each time the store comes back from a copy."""
-    copied: tuple[dict[str, dict[str, Any]], int] = field(default_factory=lambda: ({}, 0))
-    """The items of the copy, and its revision."""
+    """Incremented each time the store is restored from a copy."""
+    saved_copy: tuple[dict[str, dict[str, Any]], int] = field(default_factory=lambda: ({}, 0))
+    """The items of the saved copy, and its revision."""
 
-    def keep_copy(self) -> None:
-        """Keep a copy of what is there now."""
-        self.copied = (dict(self.items), self.revision)
+    def save_copy(self) -> None:
+        """Save a copy of the present items and revision."""
+        self.saved_copy = (dict(self.items), self.revision)
 
-    def return_from_copy(self) -> dict[str, dict[str, Any]]:
-        """Go back to the copy: what was written since is gone; returns what there was.
+    def restore_copy(self) -> dict[str, dict[str, Any]]:
+        """Restore the saved copy; returns the items from before the restoration.
 
-        Revisions are given out again, and history ends where the copy does.
+        Writes since the copy are lost, their revisions are assigned again, and the history
+        ends at the copy's revision.
         """
         before = dict(self.items)
-        items, self.revision = self.copied
+        items, self.revision = self.saved_copy
         self.items = dict(items)
         kept = [item for item in self.history if item["Revision"] <= self.revision]
         self.history.clear()
         self.history.extend(kept)
         self.era += 1
-        self._wake()
+        self._wake_watches()
         return before
 
     def put(self, key: str, text: str) -> None:
@@ -76,20 +77,20 @@
             "lease": 0,
         }
         self.items[key] = item
-        self._tell(item)
+        self._record_change(item)
 
     def drop(self, key: str) -> None:
         """Remove an item."""
         if self.items.pop(key, None) is None:
             return
         self.revision += 1
-        self._tell({"PrivateKey": key, "Revision": self.revision, "gone": True})
+        self._record_change({"PrivateKey": key, "Revision": self.revision, "gone": True})
 
-    def forget_history(self) -> None:
-        """Make every earlier revision unknown to watches."""
+    def compact_history(self) -> None:
+        """Discard the history, so that watches from earlier revisions are answered with 410."""
         self.history.clear()
-        self.forgotten_revision = self.revision
-        self._wake()
+        self.compacted_revision = self.revision
+        self._wake_watches()
 
     def answer(self, environ: dict[str, Any], start_response: StartResponse) -> list[bytes]:
         """Serve one call; a WSGI application."""
@@ -103,7 +104,7 @@
         if self.faults.status:
             start_response(f"{self.faults.status} Fault", [("Content-Length", "0")])
             return []
-        answers = {"kv-range": self._range, "kv-watch": self._watch, "kv-key": self._key}
+        answers = {"kv-range": self._read_range, "kv-watch": self._watch, "kv-key": self._read_key}
         status, content = answers[name](query)
         if self.faults.nonsense:
             content = {"events": 7, "Entries": [{"Value": "?"}], "at": "soon"}
@@ -116,14 +117,14 @@
         start_response(status, headers)
         return [body]
 
-    def _range(self, query: dict[str, str]) -> tuple[str, dict[str, Any]]:
+    def _read_range(self, query: dict[str, str]) -> tuple[str, dict[str, Any]]:
         prefix, after = query["PathPrefix"], query.get("After", "")
         keys = sorted(key for key in self.items if key.startswith(prefix) and key > after)
-        entries = [self.items[key] for key in keys[:PAGE_ITEMS]]
-        more = len(keys) > PAGE_ITEMS
+        entries = [self.items[key] for key in keys[:MAX_PAGE_ITEMS]]
+        more = len(keys) > MAX_PAGE_ITEMS
         return "200 OK", {"Entries": entries, "more": more, "at": self.revision}
 
-    def _key(self, query: dict[str, str]) -> tuple[str, dict[str, Any]]:
+    def _read_key(self, query: dict[str, str]) -> tuple[str, dict[str, Any]]:
         item = self.items.get(query["PrivateKey"])
         if item is None:
             return "404 Not Found", {"at": self.revision}
@@ -134,25 +135,25 @@
         timeout = eventlet.Timeout(int(query.get("WaitMs", "0")) / 1000.0, False)
         with timeout:
             while True:
-                if not self.forgotten_revision <= after <= self.revision:
+                if not self.compacted_revision <= after <= self.revision:
                     return "410 Gone", {"at": self.revision}
-                found = self._since(prefix, after)
+                found = self._find_changes_since(prefix, after)
                 if found:
                     return "200 OK", {"events": found, "at": self.revision}
                 self.changed.wait()
         return "200 OK", {"events": [], "at": self.revision}
 
-    def _since(self, prefix: str, after: int) -> list[dict[str, Any]]:
+    def _find_changes_since(self, prefix: str, after: int) -> list[dict[str, Any]]:
         return [
             item
             for item in self.history
             if item["Revision"] > after and item["PrivateKey"].startswith(prefix)
         ]
 
-    def _tell(self, item: dict[str, Any]) -> None:
+    def _record_change(self, item: dict[str, Any]) -> None:
         self.history.append(item)
-        self._wake()
+        self._wake_watches()
 
-    def _wake(self) -> None:
+    def _wake_watches(self) -> None:
         changed, self.changed = self.changed, Event()
         changed.send()
--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized soak: real programs, faults from outside, and the promises checked meanwhile."""
+"""A randomized soak test: real processes under injected faults, with their promises checked."""
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -8,37 +8,41 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent / "tests"))
 
-from soak.runs import Order, Result, play  # noqa: E402
+from soak.runs import RunOptions, RunResult, execute_run  # noqa: E402
 
 
 def main(
-    runs: int = typer.Option(5, help="how many runs, each with its own seed"),
-    seed: int = typer.Option(-1, help="the first run's seed; drawn afresh if left out"),
-    seconds: float = typer.Option(10.0, help="how long callers send in each run"),
+    runs: int = typer.Option(5, help="number of runs, each with its own seed"),
+    seed: int = typer.Option(-1, help="seed of the first run; random if left out"),
+    seconds: float = typer.Option(10.0, help="how long clients send requests in each run"),
     routers: int = typer.Option(3, help="router processes in each run"),
     engines: int = typer.Option(3, help="model engines in each run"),
-    endings: bool = typer.Option(True, help="whether engines end as well"),
-    copies: bool = typer.Option(True, help="whether the store comes back from a copy"),
-    notices: bool = typer.Option(True, help="whether servers tell of themselves in answers"),
+    endings: bool = typer.Option(True, help="whether engine processes end as well"),
+    copies: bool = typer.Option(True, help="whether the store is restored from a copy"),
+    notices: bool = typer.Option(
+        True, help="whether servers announce in answers that they leave or back off"
+    ),
 ) -> None:
-    """Run real routers under random faults, and check their promises; status 1 if any broke."""
+    """Run real routers under random faults and check their promises; exits with 1 if one broke."""
     first = seed if seed >= 0 else random.SystemRandom().randrange(1_000_000_000)
-    broken = 0
+    failed_runs = 0
     for number in range(first, first + runs):
-        result = play(Order(number, seconds, routers, engines, endings, notices, copies))
-        broken += bool(result.violations)
+        result = execute_run(
+            RunOptions(number, seconds, routers, engines, endings, notices, copies)
+        )
+        failed_runs += bool(result.violations)
         _print(result)
-    print(f"{runs} runs, {broken} with a broken promise")
-    sys.exit(1 if broken else 0)
+    print(f"{runs} runs, {failed_runs} with a broken promise")
+    sys.exit(1 if failed_runs else 0)
 
 
-def _print(result: Result) -> None:
+def _print(result: RunResult) -> None:
     faults = ", ".join(
         f"{fault.at_s:.1f}-{fault.until_s:.1f} s {fault.kind}:{fault.how} {fault.target}".strip()
         for fault in result.faults
     )
     statuses = ", ".join(f"{code}: {count}" for code, count in sorted(result.statuses.items()))
-    print(f"seed {result.order.seed}: {result.attempts} attempts ({statuses}); {faults}")
+    print(f"seed {result.options.seed}: {result.attempts} attempts ({statuses}); {faults}")
     for violation in result.violations:
         print(f"  BROKEN {violation.promise}: {violation.detail}; logs in {result.logs}")
     sys.stdout.flush()
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -1,6 +1,6 @@
-"""Callers that keep connections open, come back as told, and note what they saw.
+"""Clients of the soak, which reuse their connections and record the outcome of each attempt.
 
-A process of its own: reads one JSON order on standard input, prints one JSON list.
+Runs as a separate process: reads one JSON order from standard input and prints one JSON list.
 """
 
 import eventlet
@@ -20,19 +20,19 @@
 from emulator.sites import HOST, KEYS  # noqa: E402
 
 DEADLINE_S = 4.0
-HOLD_MARGIN_S = 2.0
-"""An answer this long after the deadline is late."""
+TIMEOUT_MARGIN_S = 2.0
+"""A client waits this much longer than its deadline before the attempt counts as timed out."""
 
 OUTPUT_TOKENS = 30
-LAST_EVENT = 10
-LAST_EVENT_ID = re.compile(rb"id: ([0-9]+)\n")
+LAST_EVENT_NUMBER = 10
+EVENT_ID_PATTERN = re.compile(rb"id: ([0-9]+)\n")
 PATHS = {"/diagnosis/a": "POST", "/summary/a": "POST", "/valve/a": "POST", "/setpoint/a": "GET"}
 STREAMED = ("/diagnosis/a", "/summary/a")
 
 
 @dataclass(slots=True)
-class Seen:
-    """One attempt and what its caller saw."""
+class AttemptRecord:
+    """One attempt and its outcome, as its client saw it."""
 
     attempt_id: str
     path: str
@@ -40,9 +40,9 @@
     started_s: float
     ended_s: float = 0.0
     status: int = 0
-    """0 when the connection ended without an answer."""
+    """0 if the connection ended without an answer."""
     broken: bool = False
-    """The answer began and did not end properly."""
+    """Whether the answer began and did not end properly."""
     timed_out: bool = False
     retry_after: bool = False
     seal: str = ""
@@ -50,102 +50,102 @@
     content_digest: str = ""
     event_ids: list[int] = field(default_factory=list)
     server_leaves: bool = False
-    """The answer says that its server leaves."""
+    """Whether the answer announced that its server leaves."""
 
 
 class Caller:
-    """One caller with one kept connection."""
+    """One client with one persistent connection."""
 
-    def __init__(self, routers: list[str], seed: str, seen: list[Seen]) -> None:
+    def __init__(self, routers: list[str], seed: str, records: list[AttemptRecord]) -> None:
         self._routers = routers
         self._draw = random.Random(seed)
-        self._seen = seen
+        self._records = records
         self._router = ""
         self._connection: http.client.HTTPConnection | None = None
 
     def run(self, end_s: float, pause_s: float) -> None:
-        """Send one request after another until the end."""
+        """Send requests one after another until the end."""
         while time.monotonic() < end_s:
             eventlet.sleep(self._draw.expovariate(1.0 / pause_s))
-            seen = self._ask()
-            if seen.status == 503:
+            record = self._send_attempt()
+            if record.status == 503:
                 eventlet.sleep(0.2)
 
-    def _ask(self) -> Seen:
+    def _send_attempt(self) -> AttemptRecord:
         path = self._draw.choice(list(PATHS))
         attempt_id = f"{self._draw.getrandbits(64):016x}"
         if self._connection is None:
             self._router = self._draw.choice(self._routers)
             ip, _, port = self._router.rpartition(":")
-            patience_s = DEADLINE_S + HOLD_MARGIN_S
-            self._connection = http.client.HTTPConnection(ip, int(port), timeout=patience_s)
-        seen = Seen(attempt_id, path, self._router, time.monotonic())
-        self._seen.append(seen)
+            timeout_s = DEADLINE_S + TIMEOUT_MARGIN_S
+            self._connection = http.client.HTTPConnection(ip, int(port), timeout=timeout_s)
+        record = AttemptRecord(attempt_id, path, self._router, time.monotonic())
+        self._records.append(record)
         try:
-            self._exchange(seen)
+            self._exchange(record)
         except TimeoutError:
-            seen.timed_out = True
-            self._drop()
+            record.timed_out = True
+            self._close_connection()
         except (http.client.HTTPException, OSError):
-            seen.broken = seen.status != 0
-            self._drop()
-        seen.ended_s = time.monotonic()
-        return seen
+            record.broken = record.status != 0
+            self._close_connection()
+        record.ended_s = time.monotonic()
+        return record
 
-    def _exchange(self, seen: Seen) -> None:
+    def _exchange(self, record: AttemptRecord) -> None:
         assert self._connection is not None
-        method = PATHS[seen.path]
-        body = None if method == "GET" else seen.attempt_id.encode()
-        self._connection.request(method, seen.path, body, self._headers(seen))
+        method = PATHS[record.path]
+        body = None if method == "GET" else record.attempt_id.encode()
+        self._connection.request(method, record.path, body, self._make_headers(record))
         response = self._connection.getresponse()
-        seen.status = response.status
-        seen.seal = response.headers.get("Response-Seal", "")
-        seen.shown_id = response.headers.get("Attempt-Id", "")
-        seen.retry_after = "Retry-After" in response.headers
-        seen.server_leaves = "Server-Leaving" in response.headers
+        record.status = response.status
+        record.seal = response.headers.get("Response-Seal", "")
+        record.shown_id = response.headers.get("Attempt-Id", "")
+        record.retry_after = "Retry-After" in response.headers
+        record.server_leaves = "Server-Leaving" in response.headers
         content = response.read()
-        seen.content_digest = hashlib.sha256(content).hexdigest()
-        if seen.path in STREAMED and seen.status == 200:
-            seen.event_ids = [int(number) for number in LAST_EVENT_ID.findall(content)]
+        record.content_digest = hashlib.sha256(content).hexdigest()
+        if record.path in STREAMED and record.status == 200:
+            record.event_ids = [int(number) for number in EVENT_ID_PATTERN.findall(content)]
         if response.will_close:
-            self._drop()
+            self._close_connection()
 
-    def _drop(self) -> None:
+    def _close_connection(self) -> None:
         if self._connection is not None:
             self._connection.close()
         self._connection = None
 
-    def _headers(self, seen: Seen) -> dict[str, str]:
+    def _make_headers(self, record: AttemptRecord) -> dict[str, str]:
         workspace = self._draw.choice(list(KEYS))
         headers = {
             "Host": HOST,
-            "Attempt-Id": seen.attempt_id,
+            "Attempt-Id": record.attempt_id,
             "Deadline-Ms": str(int(DEADLINE_S * 1000)),
             "Authorization": f"Bearer {KEYS[workspace]}",
         }
-        if seen.path in STREAMED:
-            own = self._draw.randrange(1, 1500)
+        if record.path in STREAMED:
+            unique_tokens = self._draw.randrange(1, 1500)
             session = self._draw.randrange(12)
             headers["Model-Name"] = "m"
-            headers["Token-Counts"] = f"{1000 + own},{OUTPUT_TOKENS}"
-            parts = f"c0:400,{session:x}5e:600,{self._draw.getrandbits(32):x}:{own}"
+            headers["Token-Counts"] = f"{1000 + unique_tokens},{OUTPUT_TOKENS}"
+            parts = f"c0:400,{session:x}5e:600,{self._draw.getrandbits(32):x}:{unique_tokens}"
             headers["Prompt-Prefix"] = parts
         return headers
 
 
 def main() -> None:
-    """Run all callers of one order."""
+    """Run all clients of one order and print their attempts."""
     order: dict[str, Any] = json.load(sys.stdin)
-    seen: list[Seen] = []
+    records: list[AttemptRecord] = []
     end_s = time.monotonic() + order["seconds"]
     callers = [
-        Caller(order["routers"], f"{order['seed']}/{number}", seen)
+        Caller(order["routers"], f"{order['seed']}/{number}", records)
         for number in range(order["callers"])
     ]
     tasks = [eventlet.spawn(caller.run, end_s, order["pause_s"]) for caller in callers]
     for task in tasks:
         task.wait()
-    print(json.dumps([asdict(one) for one in seen]))
+    print(json.dumps([asdict(record) for record in records]))
 
 
 if __name__ == "__main__":
--- a/soak/checks.py
+++ b/soak/checks.py
@@ -1,113 +1,133 @@
-"""The promises of the users' pages, checked from what callers and servers have seen."""
+"""Checks of the promises made to users, against what clients and servers recorded."""
 
 import hashlib
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
 from emulator.sites import HOST
-from soak.callers import LAST_EVENT, STREAMED, Seen
+from soak.callers import LAST_EVENT_NUMBER, STREAMED, AttemptRecord
 from soak.schedules import Fault
 
-PROMISES_NOT_RUN = (408, 421, 429, 503)
-ONCE_ONLY = ("/valve/a", "/summary/a")
-OWN_REFUSALS = (400, 401, 403, 404, 413, 431)
-STOP_MARGIN_S = 0.5
+NOT_RUN_STATUSES = (408, 421, 429, 503)
+NO_REPEAT_PATHS = ("/valve/a", "/summary/a")
+DENIAL_STATUSES = (400, 401, 403, 404, 413, 431)
+FAULT_MARGIN_S = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """One promise that was not kept."""
+    """One broken promise, with what was seen."""
 
     promise: str
     detail: str
 
 
-def check_answers(seen: Iterable[Seen], servers: Iterable[str]) -> list[Violation]:
-    """Check what callers saw by itself."""
+def check_answers(attempts: Iterable[AttemptRecord], servers: Iterable[str]) -> list[Violation]:
+    """Check each answer on its own, without the servers' records."""
     names = list(servers)
-    found = []
-    for one in seen:
-        if one.shown_id and one.shown_id != one.attempt_id:
-            found.append(_violation("an answer belongs to its request", one))
-        if one.status in OWN_REFUSALS:
-            found.append(_violation("a proper request is not denied", one))
-        if one.status in PROMISES_NOT_RUN and not one.retry_after:
-            found.append(_violation("a refusal tells when to come back", one))
-        # Who gave up in the middle of an answer has not seen one that looks whole.
-        if one.status == 200 and not one.broken and not one.timed_out:
-            found += _check_whole(one, names)
-    return found
-
-
-def check_runs(seen: Iterable[Seen], runs: Mapping[str, int]) -> list[Violation]:
-    """Check what callers saw against what the servers ran, in all."""
-    known = {one.attempt_id: one for one in seen}
-    found = []
+    violations = []
+    for attempt in attempts:
+        if attempt.shown_id and attempt.shown_id != attempt.attempt_id:
+            violations.append(_make_violation("an answer belongs to its request", attempt))
+        if attempt.status in DENIAL_STATUSES:
+            violations.append(_make_violation("a proper request is not denied", attempt))
+        if attempt.status in NOT_RUN_STATUSES and not attempt.retry_after:
+            violations.append(_make_violation("a refusal tells when to come back", attempt))
+        # A client that timed out in the middle of an answer has not received all of it.
+        if attempt.status == 200 and not attempt.broken and not attempt.timed_out:
+            violations += _check_success(attempt, names)
+    return violations
+
+
+def check_runs(attempts: Iterable[AttemptRecord], runs: Mapping[str, int]) -> list[Violation]:
+    """Check what clients saw against what all servers together ran.
+
+    :param runs: how often each attempt was run, by attempt id.
+    """
+    attempts_by_id = {attempt.attempt_id: attempt for attempt in attempts}
+    violations = []
     for attempt_id, count in runs.items():
-        one = known.get(attempt_id)
-        if one is None:
-            found.append(Violation("nothing runs that nobody sent", attempt_id))
-        elif one.path in ONCE_ONLY and count > 1:
-            found.append(_violation(f"it runs once, not {count} times", one))
-        elif one.path in ONCE_ONLY and one.status in PROMISES_NOT_RUN:
-            found.append(_violation("what was refused has not run", one))
-    return found
-
-
-def check_in_time(
-    seen: Iterable[Seen], faults: Iterable[Fault], routers: Mapping[str, str], start_s: float
+        attempt = attempts_by_id.get(attempt_id)
+        if attempt is None:
+            violations.append(Violation("nothing runs that nobody sent", attempt_id))
+        elif attempt.path in NO_REPEAT_PATHS and count > 1:
+            violations.append(_make_violation(f"it runs once, not {count} times", attempt))
+        elif attempt.path in NO_REPEAT_PATHS and attempt.status in NOT_RUN_STATUSES:
+            violations.append(_make_violation("what was refused has not run", attempt))
+    return violations
+
+
+def check_deadlines(
+    attempts: Iterable[AttemptRecord],
+    faults: Iterable[Fault],
+    routers: Mapping[str, str],
+    start_s: float,
 ) -> list[Violation]:
-    """Check that routers that were left alone held nothing, and that a stop cut nothing.
+    """Check that requests were answered by their deadlines, and that a planned stop broke none.
+
+    A late answer is excused if its router was paused, killed or stopped at that time; an answer
+    broken during a planned stop is excused if another fault was active at that time.
 
-    :param routers: name by address.
+    :param routers: router names by address.
     """
-    struck = list(faults)
-    found = []
-    for one in seen:
-        name = routers[one.router]
-        mine = [fault for fault in struck if fault.target == name and fault.kind == "router"]
-        if one.timed_out and not _overlaps(one, mine, start_s, ("pause", "kill", "stop")):
-            found.append(_violation("it has an answer by its deadline", one))
-        stopped = _overlaps(one, mine, start_s, ("stop",))
-        others = [fault for fault in struck if fault not in mine or fault.how != "stop"]
-        disturbed = _overlaps(one, others, start_s, None)
-        if stopped and not disturbed and one.broken:
-            found.append(_violation("a planned stop cuts nothing off", one))
-    return found
-
-
-def _check_whole(one: Seen, servers: list[str]) -> list[Violation]:
-    seals = {make_seal(server, one.attempt_id) for server in servers}
-    found = []
-    if one.seal not in seals:
-        found.append(_violation("a success carries a server's seal", one))
-    if one.path in STREAMED and one.event_ids != list(range(1, LAST_EVENT + 1)):
-        found.append(_violation(f"a stream is whole, not {one.event_ids}", one))
-    method = "GET" if one.path == "/setpoint/a" else "POST"
-    body = "" if method == "GET" else one.attempt_id
-    whole = hashlib.sha256(f"{method} {one.path} {body}".encode()).hexdigest()
-    if one.path not in STREAMED and one.content_digest != whole:
-        found.append(_violation("a body is the server's whole body", one))
-    return found
-
-
-def _overlaps(
-    one: Seen, faults: Iterable[Fault], start_s: float, kinds: tuple[str, ...] | None
+    all_faults = list(faults)
+    violations = []
+    for attempt in attempts:
+        name = routers[attempt.router]
+        router_faults = [
+            fault for fault in all_faults if fault.target == name and fault.kind == "router"
+        ]
+        if attempt.timed_out and not _is_fault_active(
+            attempt, router_faults, start_s, ("pause", "kill", "stop")
+        ):
+            violations.append(_make_violation("it has an answer by its deadline", attempt))
+        stopped = _is_fault_active(attempt, router_faults, start_s, ("stop",))
+        other_faults = [
+            fault for fault in all_faults if fault not in router_faults or fault.how != "stop"
+        ]
+        disturbed = _is_fault_active(attempt, other_faults, start_s, None)
+        if stopped and not disturbed and attempt.broken:
+            violations.append(_make_violation("a planned stop cuts nothing off", attempt))
+    return violations
+
+
+def _check_success(attempt: AttemptRecord, servers: list[str]) -> list[Violation]:
+    seals = {make_seal(server, attempt.attempt_id) for server in servers}
+    violations = []
+    if attempt.seal not in seals:
+        violations.append(_make_violation("a success carries a server's seal", attempt))
+    if attempt.path in STREAMED and attempt.event_ids != list(range(1, LAST_EVENT_NUMBER + 1)):
+        violations.append(_make_violation(f"a stream is whole, not {attempt.event_ids}", attempt))
+    method = "GET" if attempt.path == "/setpoint/a" else "POST"
+    body = "" if method == "GET" else attempt.attempt_id
+    expected_digest = hashlib.sha256(f"{method} {attempt.path} {body}".encode()).hexdigest()
+    if attempt.path not in STREAMED and attempt.content_digest != expected_digest:
+        violations.append(_make_violation("a body is the server's whole body", attempt))
+    return violations
+
+
+def _is_fault_active(
+    attempt: AttemptRecord, faults: Iterable[Fault], start_s: float, kinds: tuple[str, ...] | None
 ) -> bool:
-    """Tell whether faults struck while a request was open."""
-    began_s, ended_s = one.started_s - start_s, one.ended_s - start_s
+    """Return whether a fault was active while a request was open.
+
+    :param kinds: the kinds of fault that count (their ``how``), or None for all.
+    """
+    began_s, ended_s = attempt.started_s - start_s, attempt.ended_s - start_s
     return any(
-        fault.at_s - STOP_MARGIN_S <= ended_s and began_s <= fault.until_s + STOP_MARGIN_S
+        fault.at_s - FAULT_MARGIN_S <= ended_s and began_s <= fault.until_s + FAULT_MARGIN_S
         for fault in faults
         if kinds is None or fault.how in kinds
     )
 
 
 def make_seal(server: str, attempt_id: str) -> str:
-    """Return the seal that the emulator's servers give their answers."""
+    """Return the seal that an emulated server puts on its answer to an attempt."""
     return hashlib.sha256(f"{server}/{attempt_id}".encode()).hexdigest()[:16]
 
 
-def _violation(promise: str, one: Seen) -> Violation:
-    detail = f"{one.attempt_id} {HOST}{one.path} at {one.router}: status {one.status}"
-    return Violation(promise, f"{detail}, from {one.started_s:.3f} to {one.ended_s:.3f} s")
+def _make_violation(promise: str, attempt: AttemptRecord) -> Violation:
+    detail = (
+        f"{attempt.attempt_id} {HOST}{attempt.path} at {attempt.router}: status {attempt.status}"
+    )
+    return Violation(promise, f"{detail}, from {attempt.started_s:.3f} to {attempt.ended_s:.3f} s")
--- a/soak/proxies.py
+++ b/soak/proxies.py
@@ -1,7 +1,7 @@
-"""A loopback proxy that delays, resets, silences or cuts one way what passes through it.
+"""A loopback TCP proxy that can delay, reset or black-hole its connections, also one way only.
 
-A process of its own: reads one JSON object on standard input, ``{name: target}``, prints
-``{name: address}``, and then takes orders, one JSON object a line.
+Runs as a separate process: reads one JSON object ``{name: target}`` from standard input,
+prints ``{name: address}``, and then applies orders, one JSON object per line.
 """
 
 import asyncio
@@ -13,12 +13,12 @@
 from dataclasses import dataclass, field
 
 READ_BYTES = 64 * 1024
-RESET_AT_ONCE = struct.pack("ii", 1, 0)
+LINGER_RESET = struct.pack("ii", 1, 0)
 
 
 @dataclass(slots=True)
 class Link:
-    """One proxied target and what is done to its connections."""
+    """One proxied target, and the fault on its connections."""
 
     target: str
     mode: str = "pass"
@@ -27,25 +27,25 @@
     writers: set[asyncio.StreamWriter] = field(default_factory=set)
 
 
-async def _carry(
+async def _forward(
     link: Link, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, answers: bool
 ) -> None:
     with contextlib.suppress(OSError):
-        while piece := await reader.read(READ_BYTES):
+        while chunk := await reader.read(READ_BYTES):
             while link.mode == "silent" or (answers and link.mode == "one_way"):
                 await asyncio.sleep(0.02)
             if link.delay_s:
                 await asyncio.sleep(link.delay_s)
-            writer.write(piece)
+            writer.write(chunk)
             await writer.drain()
     with contextlib.suppress(OSError, RuntimeError):
         writer.close()
 
 
 def _reset(writer: asyncio.StreamWriter) -> None:
-    opened = writer.get_extra_info("socket")
+    connection = writer.get_extra_info("socket")
     with contextlib.suppress(OSError):
-        opened.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_AT_ONCE)
+        connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
     writer.transport.abort()
 
 
@@ -59,11 +59,11 @@
             ip, _, port = link.target.rpartition(":")
             inner_reader, inner_writer = await asyncio.open_connection(ip, int(port))
             link.writers.add(inner_writer)
-            ways = (
-                _carry(link, reader, inner_writer, answers=False),
-                _carry(link, inner_reader, writer, answers=True),
+            directions = (
+                _forward(link, reader, inner_writer, answers=False),
+                _forward(link, inner_reader, writer, answers=True),
             )
-            await asyncio.gather(*ways)
+            await asyncio.gather(*directions)
             link.writers.discard(inner_writer)
         except OSError:
             _reset(writer)
@@ -75,7 +75,7 @@
     return f"{ip}:{port}"
 
 
-def _take_order(links: dict[str, Link], order: dict[str, str | float]) -> None:
+def _apply_order(links: dict[str, Link], order: dict[str, str | float]) -> None:
     link = links[str(order["name"])]
     link.mode = str(order.get("mode", "pass"))
     link.delay_s = float(order.get("delay_s", 0.0))
@@ -85,7 +85,7 @@
 
 
 async def main() -> None:
-    """Serve until standard input ends."""
+    """Serve and apply orders until standard input ends."""
     reader = asyncio.StreamReader()
     loop = asyncio.get_running_loop()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
@@ -94,7 +94,7 @@
     addresses = {name: await _serve(link) for name, link in links.items()}
     print(json.dumps(addresses), flush=True)
     while line := await reader.readline():
-        _take_order(links, json.loads(line))
+        _apply_order(links, json.loads(line))
 
 
 if __name__ == "__main__":
--- a/soak/runs.py
+++ b/soak/runs.py
@@ -1,4 +1,4 @@
-"""One run of the soak: programs started, faults put in, promises checked, all ended."""
+"""One run of the soak: starts the processes, injects faults, checks promises, stops all."""
 
 import json
 import shutil
@@ -11,27 +11,29 @@
 from typing import Any
 
 from emulator.sites import make_configuration
-from soak.callers import PATHS, Seen
-from soak.checks import Violation, check_answers, check_in_time, check_runs
-from soak.notice_checks import BACKOFF_S, Struck, check_notices
-from soak.schedules import Fault, draw_copies, draw_endings, draw_notices, draw_schedule
+from soak.callers import PATHS, AttemptRecord
+from soak.checks import Violation, check_answers, check_deadlines, check_runs
+from soak.notice_checks import BACKOFF_S, InjectedFaults, check_notices
+from soak.schedules import Fault, draw_endings, draw_notices, draw_schedule, draw_store_restorations
 from standins.attempts import make_headers, new_id, send
 from standins.nodes import ROOT, Node, NodeFleet
 from standins.processes import start_process
 
-CALLERS = 12
-PAUSE_S = 0.15
-DELAY_S = 0.25
+CALLER_COUNT = 12
+MEAN_PAUSE_S = 0.15
+LINK_DELAY_S = 0.25
 SPOILT_BODY = "spoilt"
-"""What the body of a request that ends engines begins with."""
+"""The text with which the body of a request begins that ends engines."""
 
 SPOILT_PAUSE_S = 0.4
-SPOILT_PATIENCE_S = 1.0
-"""Its caller gives up after this long, so that other faults strike in time."""
+SPOILT_TIMEOUT_S = 1.0
+"""Timeout of such a request; short, so that other faults are injected on time."""
 
-MOST_ENDED = 4
-"""Engines that one spoilt request may end: two until it is held, and one for each router that
-is killed meanwhile with what it had counted, or whose news is lost."""
+MAX_ENDS_PER_SPOILT = 4
+"""Maximum number of engines that one such request may end.
+
+Two end before the request is quarantined, and one more for each router that is killed
+meanwhile and loses what it had counted, or whose news is lost."""
 
 RECOVERY_S = 12.0
 FIRST_VERSION = 1
@@ -39,26 +41,26 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Order:
-    """What one run is to do."""
+class RunOptions:
+    """The parameters of one run."""
 
     seed: int
     seconds: float = 10.0
     routers: int = 3
     engines: int = 3
     endings: bool = False
-    """Whether engines end as well."""
+    """Whether engine processes end as well."""
     notices: bool = False
-    """Whether servers say in answers that they leave, or want to be left alone."""
+    """Whether servers announce in answers that they leave, or ask for back-off."""
     copies: bool = False
-    """Whether the store comes back from a copy."""
+    """Whether the store is restored from a copy."""
 
 
 @dataclass(frozen=True, slots=True)
-class Result:
-    """What came of one run."""
+class RunResult:
+    """The outcome of one run."""
 
-    order: Order
+    options: RunOptions
     faults: list[Fault]
     attempts: int
     statuses: dict[int, int]
@@ -68,31 +70,31 @@
 
 @dataclass(slots=True)
 class Run:
-    """The programs of one run."""
+    """The processes and the state of one run."""
 
-    order: Order
+    options: RunOptions
     fleet: NodeFleet = field(default_factory=NodeFleet)
     proxy: Any = None
-    version: int = FIRST_VERSION
-    drained: bool = False
-    chance_ends: int = 0
-    """How many engines were made to end."""
+    configuration_version: int = FIRST_VERSION
+    engine_drained: bool = False
+    scheduled_ends: int = 0
+    """The number of engines ended by the schedule, not by a request."""
     violations: list[Violation] = field(default_factory=list)
 
-    def play(self) -> Result:
-        """Play the whole run."""
+    def execute(self) -> RunResult:
+        """Execute the whole run."""
         try:
             self._start()
-            return self._strike_and_check()
+            return self._inject_and_check()
         finally:
             self.fleet.stop()
 
     def _start(self) -> None:
-        options = ["--engines", str(self.order.engines)]
+        options = ["--engines", str(self.options.engines)]
         self.fleet.addresses = self.fleet.start_emulator(options)
-        names = [f"edge-{number}" for number in range(1, self.order.routers + 1)]
+        names = [f"edge-{number}" for number in range(1, self.options.routers + 1)]
         targets = {name: self.fleet.addresses["store"] for name in names}
-        targets |= {name: self.fleet.addresses[name] for name in self._servers()}
+        targets |= {name: self.fleet.addresses[name] for name in self._list_servers()}
         self.proxy = start_process(
             [sys.executable, "-m", "soak.proxies"],
             stdin=subprocess.PIPE,
@@ -100,56 +102,62 @@
             cwd=ROOT,
         )
         self.fleet.processes.append(self.proxy)
-        self._tell_proxy(targets)
+        self._send_to_proxy(targets)
         addresses = json.loads(self.proxy.stdout.readline())
         self.fleet.stores = {name: addresses[name] for name in names}
-        # A proxy takes connections for a server that has ended, which no network does.
-        proxied = [name for name in self._servers() if not (self.order.endings and _ends(name))]
+        # Engines that may end are not proxied: the proxy would accept connections for a server
+        # that has ended, which no network does.
+        proxied = [
+            name for name in self._list_servers() if not (self.options.endings and _is_engine(name))
+        ]
         self.fleet.order(addresses={name: addresses[name] for name in proxied})
-        self.fleet.start_nodes(self.order.routers)
+        self.fleet.start_nodes(self.options.routers)
 
-    def _servers(self) -> list[str]:
+    def _list_servers(self) -> list[str]:
         return sorted(name for name in self.fleet.addresses if name.startswith("i-"))
 
-    def _tell_proxy(self, order: dict[str, Any]) -> None:
+    def _send_to_proxy(self, order: dict[str, Any]) -> None:
         self.proxy.stdin.write(json.dumps(order).encode() + b"\n")
         self.proxy.stdin.flush()
 
-    def _strike_and_check(self) -> Result:
-        order = self.order
+    def _inject_and_check(self) -> RunResult:
+        options = self.options
         names = [node.name for node in self.fleet.nodes]
-        faults = draw_schedule(order.seed, order.seconds, names, self._servers())
-        if order.endings:
-            engines = [name for name in self._servers() if _ends(name)]
-            faults += draw_endings(order.seed, order.seconds, engines)
+        faults = draw_schedule(options.seed, options.seconds, names, self._list_servers())
+        if options.endings:
+            engines = [name for name in self._list_servers() if _is_engine(name)]
+            faults += draw_endings(options.seed, options.seconds, engines)
             self.fleet.order(faults={"engines": {"keeps_id": True}})
-        if order.notices:
-            engines = [name for name in self._servers() if _ends(name)]
-            faults += draw_notices(order.seed, order.seconds, self._servers(), engines)
-        if order.copies:
-            faults += draw_copies(order.seed, order.seconds)
+        if options.notices:
+            engines = [name for name in self._list_servers() if _is_engine(name)]
+            faults += draw_notices(options.seed, options.seconds, self._list_servers(), engines)
+        if options.copies:
+            faults += draw_store_restorations(options.seed, options.seconds)
         callers = self._start_callers()
         start_s = time.monotonic()
-        self._strike(faults, start_s)
-        self._sleep_until(start_s + order.seconds)
-        self._heal()
+        self._inject_faults(faults, start_s)
+        self._sleep_until(start_s + options.seconds)
+        self._clear_faults()
         output, _ = callers.communicate()
-        seen = [Seen(**one) for one in json.loads(output)]
+        attempts = [AttemptRecord(**fields) for fields in json.loads(output)]
         routers = {f"{node.ip}:{node.front_port}": node.name for node in self.fleet.nodes}
-        # An engine that is healed while it is away starts again under another id.
-        sealing = {*self._servers(), *self.fleet.describe()["servers"]}
-        self.violations += check_answers(seen, sealing)
-        self.violations += check_in_time(seen, faults, routers, start_s)
+        # Clearing the faults resets `keeps_id`, so an engine that is down at that time starts
+        # again under another id.
+        sealing = {*self._list_servers(), *self.fleet.describe()["servers"]}
+        self.violations += check_answers(attempts, sealing)
+        self.violations += check_deadlines(attempts, faults, routers, start_s)
         site = self.fleet.describe()
-        struck = Struck(tuple(faults), start_s)
-        self.violations += check_notices(seen, site, struck, routers)
+        injected = InjectedFaults(tuple(faults), start_s)
+        self.violations += check_notices(attempts, site, injected, routers)
         self.violations += self._check_recovery()
-        self.violations += check_runs(seen, self._count_runs(seen))
+        self.violations += check_runs(attempts, self._count_runs(attempts))
         self.violations += self._check_ends(faults)
         statuses: dict[int, int] = {}
-        for one in seen:
-            statuses[one.status] = statuses.get(one.status, 0) + 1
-        return Result(order, faults, len(seen), statuses, self.violations, self.fleet.folder)
+        for attempt in attempts:
+            statuses[attempt.status] = statuses.get(attempt.status, 0) + 1
+        return RunResult(
+            options, faults, len(attempts), statuses, self.violations, self.fleet.folder
+        )
 
     def _start_callers(self) -> subprocess.Popen[bytes]:
         process = start_process(
@@ -161,10 +169,10 @@
         self.fleet.processes.append(process)
         order = {
             "routers": [f"{node.ip}:{node.front_port}" for node in self.fleet.nodes],
-            "seconds": self.order.seconds,
-            "seed": self.order.seed,
-            "callers": CALLERS,
-            "pause_s": PAUSE_S,
+            "seconds": self.options.seconds,
+            "seed": self.options.seed,
+            "callers": CALLER_COUNT,
+            "pause_s": MEAN_PAUSE_S,
         }
         assert process.stdin is not None
         process.stdin.write(json.dumps(order).encode())
@@ -172,53 +180,53 @@
         process.stdin = None
         return process
 
-    def _strike(self, faults: list[Fault], start_s: float) -> None:
-        """Put in each fault at its time, and take it back at the end of its time."""
+    def _inject_faults(self, faults: list[Fault], start_s: float) -> None:
+        """Begin and end each fault at its scheduled times."""
         moments = [(fault.at_s, True, fault) for fault in faults]
         moments += [(fault.until_s, False, fault) for fault in faults]
         for moment_s, begins, fault in sorted(moments, key=lambda moment: moment[0]):
             self._sleep_until(start_s + moment_s)
-            self._change(fault, begins)
+            self._set_fault(fault, begins)
 
     def _sleep_until(self, moment_s: float) -> None:
         while (left_s := moment_s - time.monotonic()) > 0:
             time.sleep(min(left_s, 0.1))
 
-    def _change(self, fault: Fault, begins: bool) -> None:
+    def _set_fault(self, fault: Fault, begins: bool) -> None:
         if fault.kind == "router":
-            self._change_router(fault, begins)
+            self._set_router_fault(fault, begins)
         elif fault.kind in ("store_link", "server_link"):
-            delay_s = DELAY_S if fault.how == "delay" else 0.0
+            delay_s = LINK_DELAY_S if fault.how == "delay" else 0.0
             mode = "pass" if fault.how == "delay" or not begins else fault.how
-            self._tell_proxy(
+            self._send_to_proxy(
                 {"name": fault.target, "mode": mode, "delay_s": delay_s if begins else 0.0}
             )
         elif fault.kind == "server":
             self.fleet.order(faults={fault.target: {fault.how: 3 if begins else 0}})
         elif fault.kind == "store":
-            self._change_store(fault, begins)
+            self._set_store_fault(fault, begins)
         elif fault.kind == "copy":
             self.fleet.order(keep_copy=begins, return_from_copy=not begins)
         elif fault.kind == "notice":
-            self._change_notice(fault, begins)
+            self._set_notice_fault(fault, begins)
         elif fault.kind == "ending":
             self._end_engines(fault, begins)
         elif begins:
-            self._change_site(fault)
+            self._apply_site_change(fault)
 
-    def _change_notice(self, fault: Fault, begins: bool) -> None:
+    def _set_notice_fault(self, fault: Fault, begins: bool) -> None:
         if fault.how == "tells_leaving":
-            # A server that leaves does not stay after all.
+            # The notice is never withdrawn: a server that announced that it leaves does leave.
             self.fleet.order(faults={fault.target: {"leaving": True}})
             return
-        turned_away = {"refuse_every": 2, "retry_after": str(BACKOFF_S)}
-        sound = {"refuse_every": 0, "retry_after": ""}
-        self.fleet.order(faults={fault.target: turned_away if begins else sound})
+        refusing = {"refuse_every": 2, "retry_after": str(BACKOFF_S)}
+        not_refusing = {"refuse_every": 0, "retry_after": ""}
+        self.fleet.order(faults={fault.target: refusing if begins else not_refusing})
 
     def _end_engines(self, fault: Fault, begins: bool) -> None:
         if fault.how == "end":
             if begins:
-                self.chance_ends += 1
+                self.scheduled_ends += 1
                 self.fleet.order(end=[fault.target])
             return
         if not begins:
@@ -231,20 +239,22 @@
             node = self.fleet.nodes[number % len(self.fleet.nodes)]
             headers = make_headers(new_id(), "planners", "900,30", "c0:400,aa:500")
             if node.process.poll() is None:
-                send(node, "POST", "/diagnosis/a", headers, body, SPOILT_PATIENCE_S)
+                send(node, "POST", "/diagnosis/a", headers, body, SPOILT_TIMEOUT_S)
             number += 1
             time.sleep(SPOILT_PAUSE_S)
 
     def _check_ends(self, faults: list[Fault]) -> list[Violation]:
-        """Check that no request has ended one engine after another."""
+        """Check that no request has ended more engines than allowed."""
         spoilt = sum(fault.how == "spoilt" for fault in faults)
         ended = len(self.fleet.describe()["ended"])
-        most = MOST_ENDED * spoilt + self.chance_ends
-        if ended <= most:
+        max_ended = MAX_ENDS_PER_SPOILT * spoilt + self.scheduled_ends
+        if ended <= max_ended:
             return []
-        return [Violation("a request ends few engines", f"{ended} ended, at most {most} expected")]
+        return [
+            Violation("a request ends few engines", f"{ended} ended, at most {max_ended} expected")
+        ]
 
-    def _change_store(self, fault: Fault, begins: bool) -> None:
+    def _set_store_fault(self, fault: Fault, begins: bool) -> None:
         if fault.how == "forgets":
             self.fleet.order(forget_history=begins)
         elif fault.how == "refuses":
@@ -252,19 +262,20 @@
         else:
             self.fleet.order(faults={"store": {"nonsense": begins}})
 
-    def _change_site(self, fault: Fault) -> None:
+    def _apply_site_change(self, fault: Fault) -> None:
         if fault.how == "configuration":
-            self.version += 1
-            self.fleet.order(configuration=make_configuration(self.version))
+            self.configuration_version += 1
+            self.fleet.order(configuration=make_configuration(self.configuration_version))
         elif fault.how == "break_stream":
             self.fleet.order(faults={"engines": {"break_after_events": 4}})
-        elif not self.drained and fault.target.startswith("i-engine"):
-            # A server that has left never comes back under its name.
-            self.drained = True
+        elif not self.engine_drained and fault.target.startswith("i-engine"):
+            # Only one engine is drained per run, because a server that has left never comes
+            # back under its name.
+            self.engine_drained = True
             self.fleet.order(servers={fault.target: "draining"})
 
-    def _change_router(self, fault: Fault, begins: bool) -> None:
-        node = self._node(fault.target)
+    def _set_router_fault(self, fault: Fault, begins: bool) -> None:
+        node = self._find_node(fault.target)
         if fault.how == "pause":
             node.process.send_signal(signal.SIGSTOP if begins else signal.SIGCONT)
         elif fault.how == "reload":
@@ -275,7 +286,7 @@
         elif node.process.poll() is not None:
             self._restart(node)
 
-    def _node(self, name: str) -> Node:
+    def _find_node(self, name: str) -> Node:
         return next(node for node in self.fleet.nodes if node.name == name)
 
     def _restart(self, node: Node) -> None:
@@ -283,11 +294,11 @@
         ips = sorted([node.ip, *(other.ip for other in self.fleet.nodes)])
         self.fleet.start_node(node.name, node.ip, ips)
 
-    def _heal(self) -> None:
-        """Take back every fault, and let each router that has ended start again."""
+    def _clear_faults(self) -> None:
+        """Clear every fault, and restart each router that has ended."""
         self.fleet.order(heal=True)
-        for name in [*self.fleet.stores, *self._servers()]:
-            self._tell_proxy({"name": name})
+        for name in [*self.fleet.stores, *self._list_servers()]:
+            self._send_to_proxy({"name": name})
         for node in list(self.fleet.nodes):
             node.process.send_signal(signal.SIGCONT)
         for node in sorted(self.fleet.nodes, key=lambda found: found.name):
@@ -295,21 +306,21 @@
                 self._restart(node)
 
     def _check_recovery(self) -> list[Violation]:
-        """Check that every router serves every kind of request again in time."""
+        """Check that every router serves every kind of request again within the recovery time."""
         deadline_s = time.monotonic() + RECOVERY_S
-        missing = {(node.name, path) for node in self.fleet.nodes for path in PATHS}
-        while missing and time.monotonic() < deadline_s:
-            for name, path in sorted(missing):
+        not_serving = {(node.name, path) for node in self.fleet.nodes for path in PATHS}
+        while not_serving and time.monotonic() < deadline_s:
+            for name, path in sorted(not_serving):
                 if self._is_served(name, path):
-                    missing.discard((name, path))
+                    not_serving.discard((name, path))
             time.sleep(0.1)
         return [
             Violation("service comes back", f"{name} does not serve {path}")
-            for name, path in sorted(missing)
+            for name, path in sorted(not_serving)
         ]
 
     def _is_served(self, name: str, path: str) -> bool:
-        node = self._node(name)
+        node = self._find_node(name)
         if node.process.poll() is not None:
             self._restart(node)
             return False
@@ -317,25 +328,25 @@
         headers = make_headers(new_id(), "planners", tokens, "c0:400,aa:500" if tokens else "")
         return send(node, PATHS[path], path, headers, b"").status == 200
 
-    def _count_runs(self, seen: list[Seen]) -> dict[str, int]:
-        """Return how often each attempt of the callers, or of nobody, was run."""
-        own = {one.attempt_id for one in seen}
-        counted: dict[str, int] = {}
+    def _count_runs(self, attempts: list[AttemptRecord]) -> dict[str, int]:
+        """Return how often each attempt was run, without the requests that this module sends."""
+        own_ids = {attempt.attempt_id for attempt in attempts}
+        run_counts: dict[str, int] = {}
         for server in self.fleet.describe()["servers"].values():
             for attempt_id, count in server["runs"].items():
-                if attempt_id in own or not attempt_id.startswith("a0"):
-                    counted[attempt_id] = counted.get(attempt_id, 0) + count
-        return counted
+                if attempt_id in own_ids or not attempt_id.startswith("a0"):
+                    run_counts[attempt_id] = run_counts.get(attempt_id, 0) + count
+        return run_counts
 
 
-def _ends(server: str) -> bool:
-    """Tell whether a server's process may end: an engine's."""
+def _is_engine(server: str) -> bool:
+    """Return whether a server is an engine; only engines' processes may end."""
     return server.startswith("i-engine")
 
 
-def play(order: Order) -> Result:
-    """Play one run; the logs of one that kept its promises are removed."""
-    result = Run(order).play()
+def execute_run(options: RunOptions) -> RunResult:
+    """Execute one run; its logs are removed if no promise was broken."""
+    result = Run(options).execute()
     if not result.violations:
         shutil.rmtree(result.logs, ignore_errors=True)
     return result
--- a/soak/schedules.py
+++ b/soak/schedules.py
@@ -1,4 +1,4 @@
-"""Which faults strike when: drawn from a seed, in series, and overlapping."""
+"""Random schedules of faults, drawn from a seed; faults may overlap."""
 
 import random
 from dataclasses import dataclass
@@ -9,23 +9,25 @@
 SERVER_FAULTS = ("reset_answers", "refusals")
 STORE_FAULTS = ("refuses", "nonsense", "forgets")
 ENDINGS = ("end", "spoilt")
-"""One engine ends by chance; one caller's request ends each engine that begins it."""
+"""``end``: one engine ends by chance. ``spoilt``: a client's request ends each engine that
+begins to run it."""
 
 NOTICES = ("turns_away", "tells_leaving")
-"""A server turns one request in two away for a time, and says for how long; an engine says in
-all its answers that it leaves, while its entry stays as it is."""
+"""``turns_away``: for a time, a server refuses every second request and asks for back-off.
+``tells_leaving``: an engine announces in all answers that it leaves, while its store entry
+stays as it is."""
 
 CHANGES = ("configuration", "drain", "break_stream")
 KINDS = ("router", "store_link", "server_link", "server", "store", "change")
 
 FIRST_FAULT_S = 0.5
-LONGEST_FAULT_S = 4.0
-SHORTEST_FAULT_S = 0.3
+MAX_FAULT_S = 4.0
+MIN_FAULT_S = 0.3
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One fault: what, on whom, from when to when after the start."""
+    """One fault: its kind, its target, and its begin and end in seconds after the start."""
 
     at_s: float
     until_s: float
@@ -35,12 +37,12 @@
 
 
 def draw_schedule(seed: int, seconds: float, routers: list[str], servers: list[str]) -> list[Fault]:
-    """Draw the faults of one run, in the order in which they begin."""
+    """Draw the faults of one run, ordered by their begin."""
     draw = random.Random(seed)
     faults = []
     for _ in range(draw.randint(3, 10)):
         at_s = draw.uniform(FIRST_FAULT_S, seconds * 0.8)
-        until_s = min(at_s + draw.uniform(SHORTEST_FAULT_S, LONGEST_FAULT_S), seconds)
+        until_s = min(at_s + draw.uniform(MIN_FAULT_S, MAX_FAULT_S), seconds)
         kind = draw.choice(KINDS)
         how, target = _draw_target(draw, kind, routers, servers)
         faults.append(Fault(round(at_s, 3), round(until_s, 3), kind, how, target))
@@ -48,12 +50,12 @@
 
 
 def draw_endings(seed: int, seconds: float, engines: list[str]) -> list[Fault]:
-    """Draw when engines end, beside the other faults of the same seed."""
+    """Draw when engines end, in addition to the other faults of the same seed."""
     draw = random.Random(f"endings/{seed}")
     faults = []
     for _ in range(draw.randint(1, 4)):
         at_s = draw.uniform(FIRST_FAULT_S, seconds * 0.8)
-        until_s = min(at_s + draw.uniform(SHORTEST_FAULT_S, LONGEST_FAULT_S), seconds)
+        until_s = min(at_s + draw.uniform(MIN_FAULT_S, MAX_FAULT_S), seconds)
         target = draw.choice(engines)
         how = draw.choice(ENDINGS)
         faults.append(Fault(round(at_s, 3), round(until_s, 3), "ending", how, target))
@@ -61,15 +63,15 @@
 
 
 def draw_notices(seed: int, seconds: float, servers: list[str], engines: list[str]) -> list[Fault]:
-    """Draw what servers say in answers, beside the other faults of the same seed.
+    """Draw the notices of servers in answers, in addition to the other faults of the same seed.
 
-    One engine at most leaves: a site with none left serves nobody.
+    At most one engine leaves, because a site without engines serves nobody.
     """
     draw = random.Random(f"notices/{seed}")
     faults: list[Fault] = []
     for _ in range(draw.randint(2, 4)):
         at_s = draw.uniform(FIRST_FAULT_S, seconds * 0.8)
-        until_s = min(at_s + draw.uniform(SHORTEST_FAULT_S, LONGEST_FAULT_S), seconds)
+        until_s = min(at_s + draw.uniform(MIN_FAULT_S, MAX_FAULT_S), seconds)
         how = draw.choice(NOTICES)
         if any(fault.how == "tells_leaving" for fault in faults):
             how = "turns_away"
@@ -78,11 +80,11 @@
     return sorted(faults, key=lambda fault: fault.at_s)
 
 
-def draw_copies(seed: int, seconds: float) -> list[Fault]:
-    """Draw when the store keeps a copy, and when it comes back from that."""
+def draw_store_restorations(seed: int, seconds: float) -> list[Fault]:
+    """Draw when the store saves a copy, and when it is restored from it."""
     draw = random.Random(f"copies/{seed}")
     at_s = draw.uniform(FIRST_FAULT_S, seconds * 0.5)
-    until_s = at_s + draw.uniform(SHORTEST_FAULT_S, LONGEST_FAULT_S)
+    until_s = at_s + draw.uniform(MIN_FAULT_S, MAX_FAULT_S)
     return [Fault(round(at_s, 3), round(min(until_s, seconds), 3), "copy", "returns", "store")]
 
 
--- a/tests/steps/experiment_steps.py
+++ b/tests/steps/experiment_steps.py
@@ -13,8 +13,8 @@
 from result import Err
 
 from bench.experiment_files import Experiment, Variant, load_experiment
-from bench.experiment_runs import Place, list_plays, run_play
-from bench.experiment_tables import compare, plot_table, write_table
+from bench.experiment_runs import ExperimentPaths, execute_run, list_runs
+from bench.experiment_tables import compare_variants, plot_differences, write_table
 
 STAND_IN = """#!{python}
 import json, pathlib, sys
@@ -58,12 +58,12 @@
     program = folder / "bench"
     program.write_text(STAND_IN.format(python=sys.executable, figures=str(figures_path)))
     program.chmod(program.stat().st_mode | stat.S_IXUSR)
-    place = Place(program, {"site": folder / "site.toml"}, folder)
+    place = ExperimentPaths(program, {"site": folder / "site.toml"}, folder)
     played = []
-    for play in list_plays(experiment):
+    for play in list_runs(experiment):
         checkout = folder / play.variant.name
         checkout.mkdir(exist_ok=True)
-        played.append(run_play(play, experiment, place, checkout))
+        played.append(execute_run(play, experiment, place, checkout))
     context.played = played
 
 
@@ -89,11 +89,11 @@
     "and the page names each play's journal entry"
 )
 def check_verdict(context: Any, name: str, verdict: str, pairs: int) -> None:
-    (row,) = compare(context.experiment, context.played)
+    (row,) = compare_variants(context.experiment, context.played)
     assert (row.variant, row.verdict, len(row.differences)) == (name, verdict, pairs), row
     page = context.folder / "page.md"
     write_table(context.experiment, context.played, page)
-    plot_table(context.experiment, context.played, page.with_suffix(".png"))
+    plot_differences(context.experiment, context.played, page.with_suffix(".png"))
     text = page.read_text()
     assert f"| {verdict} |" in text, text
     assert all(item.journal_id and item.journal_id in text for item in context.played), text
--- a/tests/steps/soak_steps.py
+++ b/tests/steps/soak_steps.py
@@ -7,10 +7,10 @@
 
 from behave import given, then, when
 
-from soak.callers import LAST_EVENT, Seen
-from soak.checks import Violation, check_answers, check_in_time, check_runs, make_seal
-from soak.notice_checks import Struck, check_notices
-from soak.runs import Order, play
+from soak.callers import LAST_EVENT_NUMBER, AttemptRecord
+from soak.checks import Violation, check_answers, check_deadlines, check_runs, make_seal
+from soak.notice_checks import InjectedFaults, check_notices
+from soak.runs import RunOptions, execute_run
 from soak.schedules import Fault
 
 SERVER = "i-engine-1"
@@ -19,27 +19,27 @@
 
 @when("the soak plays seed {seed:d} for {seconds:g} s")
 def play_seed(context: Any, seed: int, seconds: float) -> None:
-    context.result = play(Order(seed, seconds))
+    context.result = execute_run(RunOptions(seed, seconds))
 
 
 @when("the soak plays seed {seed:d} for {seconds:g} s, and engines end")
 def play_endings(context: Any, seed: int, seconds: float) -> None:
-    context.result = play(Order(seed, seconds, endings=True))
+    context.result = execute_run(RunOptions(seed, seconds, endings=True))
 
 
 @when("the soak plays seed {seed:d} for {seconds:g} s, engines end, and servers send notices")
 def play_notices(context: Any, seed: int, seconds: float) -> None:
-    context.result = play(Order(seed, seconds, endings=True, notices=True))
+    context.result = execute_run(RunOptions(seed, seconds, endings=True, notices=True))
 
 
 @when("the soak plays seed {seed:d} for {seconds:g} s, servers send notices, the store is restored")
 def play_copies(context: Any, seed: int, seconds: float) -> None:
-    context.result = play(Order(seed, seconds, notices=True, copies=True))
+    context.result = execute_run(RunOptions(seed, seconds, notices=True, copies=True))
 
 
 @when("the soak plays seed {seed:d} for {seconds:g} s under all its faults")
 def play_all(context: Any, seed: int, seconds: float) -> None:
-    context.result = play(Order(seed, seconds, endings=True, notices=True, copies=True))
+    context.result = execute_run(RunOptions(seed, seconds, endings=True, notices=True, copies=True))
 
 
 @then("no promise was broken, and clients were served")
@@ -51,16 +51,16 @@
 @given('an attempt with a whole answer of "{server}" that was run once')
 def make_attempt(context: Any, server: str) -> None:
     seal = hashlib.sha256(f"{server}/x1".encode()).hexdigest()[:16]
-    events = list(range(1, LAST_EVENT + 1))
-    context.whole = Seen(
+    events = list(range(1, LAST_EVENT_NUMBER + 1))
+    context.whole = AttemptRecord(
         "x1", "/summary/a", ROUTER, 1.0, 1.5, 200, False, False, False, seal, "x1", "", events
     )
 
 
-def _find_violations(seen: Seen, runs: dict[str, int]) -> list[Violation]:
+def _find_violations(seen: AttemptRecord, runs: dict[str, int]) -> list[Violation]:
     found = check_answers([seen], [SERVER])
     found += check_runs([seen], runs)
-    return found + check_in_time([seen], [], {ROUTER: "edge-1"}, 0.0)
+    return found + check_deadlines([seen], [], {ROUTER: "edge-1"}, 0.0)
 
 
 @then("the checks find nothing")
@@ -68,7 +68,7 @@
     assert not _find_violations(context.whole, {"x1": 1})
 
 
-FAULTY_OUTCOMES: dict[str, Callable[[Seen], tuple[Seen, dict[str, int]]]] = {
+FAULTY_OUTCOMES: dict[str, Callable[[AttemptRecord], tuple[AttemptRecord, dict[str, int]]]] = {
     "seal": lambda whole: (replace(whole, seal="other"), {"x1": 1}),
     "events": lambda whole: (replace(whole, event_ids=[1, 3]), {"x1": 1}),
     "id": lambda whole: (replace(whole, shown_id="x2"), {"x1": 1}),
@@ -107,7 +107,7 @@
     :param sealed_by: the server whose answers the clients received.
     """
     seen = [
-        Seen(
+        AttemptRecord(
             name,
             "/summary/a",
             ROUTER,
@@ -120,7 +120,7 @@
     ]
     runs = {name: 1 for name, _ in arrivals[1:]}
     site = {"ended": [], "servers": {SERVER: {"arrivals": arrivals, "runs": runs}}}
-    return check_notices(seen, site, Struck(faults, 0.0), {ROUTER: "edge-1"})
+    return check_notices(seen, site, InjectedFaults(faults, 0.0), {ROUTER: "edge-1"})
 
 
 WITHIN_BACKOFF = [("a", 1.0), ("b", 1.6), ("c", 1.7), ("d", 1.8)]
