--- a/packages/core/src/myrtlehook_core/process/options.py
+++ b/packages/core/src/myrtlehook_core/process/options.py
@@ -1,4 +1,4 @@
-"""The core's options: tunable intervals and limits, with defaults chosen by measurement."""
+"""The core's options: tunable intervals and limits, with their defaults."""
 
 from dataclasses import dataclass
 
